--- a/src/plugins/fleet/common/fleetState.ts
+++ b/src/plugins/fleet/common/fleetState.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The fleet's part of the replicated state: published tables, drained halls and targets. Deterministic. */
+/** The fleet's part of the replicated state: published table, drained data halls and targets. Must stay deterministic. */
 
 import { Emitter } from '../../../base/event.js';
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
@@ -25,10 +25,10 @@
 	type TargetRecord
 } from './fleetTypes.js';
 
-/** Digests of published documents kept to recognize an order that is sent again. */
-const KEPT_DIGESTS = 4096;
-/** Targets that are gone and kept, so that a late heartbeat cannot bring them back. */
-const KEPT_GONE_TARGETS = 4096;
+/** Digests of published documents that are kept to recognize retries. */
+const MAX_DIGESTS = 4096;
+/** Number of records above which the oldest gone targets are evicted; a late heartbeat cannot register a gone target before. */
+const MAX_TARGETS = 4096;
 
 const PHASE_ORDER: Readonly<Record<TargetPhase, number>> = {
 	[TargetPhase.Serving]: 0,
@@ -45,58 +45,58 @@
 	readonly targets: readonly TargetRecord[];
 }
 
-/** Applies fleet commands. */
+/** Replicated state machine of the fleet. */
 export class FleetState implements IReplicatedPart {
 	readonly id = FLEET_PART;
 	private readonly _onDidChange = new Emitter<FleetRevision>();
-	/** Fires after each change with the new revision. */
+	/** Fires with the new revision after each change. */
 	readonly onDidChange = this._onDidChange.event;
 	private _revision: FleetRevision = 0;
-	/** Revision of the latest change that is no longer held; who stands before it needs everything. */
-	private _forgotten: FleetRevision = 0;
+	/** Highest revision of an evicted record; a receiver with an earlier revision needs the whole state. */
+	private _compactedRevision: FleetRevision = 0;
 	private _published?: PublishedTable;
 	private _digests = new Map<number, string>();
 	private _halls = new Map<string, HallRecord>();
-	/** In the order in which they registered. */
+	/** In registration order. */
 	private _targets = new Map<string, TargetRecord>();
-	/** Ids of the targets that registered last, by address. */
-	private readonly _holders = new Map<string, string>();
+	/** Id of the last target to register at each address. */
+	private readonly _targetIdsByAddress = new Map<string, string>();
 
-	/** Revision of the last change. */
+	/** Revision of the last change; 0 before the first. */
 	get revision(): FleetRevision {
 		return this._revision;
 	}
 
-	/** The table in force. */
+	/** The table in force; undefined before the first publication. */
 	get published(): PublishedTable | undefined {
 		return this._published;
 	}
 
-	/** One target, also when it is gone. */
+	/** A target by its id; includes gone targets that are not evicted yet. */
 	target(id: string): TargetRecord | undefined {
 		return this._targets.get(id);
 	}
 
-	/** All targets held. */
+	/** All targets, including gone ones that are not evicted yet. */
 	get targets(): IterableIterator<TargetRecord> {
 		return this._targets.values();
 	}
 
-	/** The target that registered last at an address; undefined for nobody, or for one that is gone. */
+	/** Id of the last target to register at an address; undefined if there is none or it is gone. */
 	holderOf(address: string): string | undefined {
-		const holder = this._targets.get(this._holders.get(address) ?? '');
-		const isThere = holder?.address === address && holder.phase !== TargetPhase.Gone;
-		return isThere ? holder.id : undefined;
+		const target = this._targets.get(this._targetIdsByAddress.get(address) ?? '');
+		const isRegistered = target?.address === address && target.phase !== TargetPhase.Gone;
+		return isRegistered ? target.id : undefined;
 	}
 
-	/** Whether a hall is drained. */
+	/** Whether a data hall is drained. */
 	isDrained(hall: string): boolean {
 		return this._halls.get(hall)?.isDrained ?? false;
 	}
 
-	/** What changed after a revision. */
+	/** Records changed after a revision; the whole state if the changes since then are no longer known. */
 	changesAfter(revision: FleetRevision): FleetChanges {
-		const isWhole = revision < this._forgotten || revision > this._revision;
+		const isWhole = revision < this._compactedRevision || revision > this._revision;
 		const isNewer = (record: { changedAt: FleetRevision }): boolean => isWhole || record.changedAt > revision;
 		const published = this._published && isNewer(this._published) ? this._published : undefined;
 		return {
@@ -125,7 +125,7 @@
 	save(): SavedFleetState {
 		return {
 			revision: this._revision,
-			forgotten: this._forgotten,
+			forgotten: this._compactedRevision,
 			published: this._published,
 			digests: [...this._digests],
 			halls: [...this._halls.values()],
@@ -136,59 +136,59 @@
 	restore(saved: unknown): void {
 		const state = saved as SavedFleetState;
 		this._revision = state.revision;
-		this._forgotten = state.forgotten;
+		this._compactedRevision = state.forgotten;
 		this._published = state.published;
 		this._digests = new Map(state.digests);
 		this._halls = new Map(state.halls.map(hall => [hall.hall, hall]));
-		this._targets = new Map(state.targets.map(target => [target.id, completed(target)]));
-		this._holders.clear();
-		state.targets.forEach(({ address, id }) => this._holders.set(address, id));
+		this._targets = new Map(state.targets.map(target => [target.id, withDefaults(target)]));
+		this._targetIdsByAddress.clear();
+		state.targets.forEach(({ address, id }) => this._targetIdsByAddress.set(address, id));
 		this._onDidChange.fire(this._revision);
 	}
 
 	private _publish(command: PublishTableCommand): FleetResult {
 		const { version } = command.table;
 		if (this._digests.get(version) === command.digest) {
-			return this._done();
+			return this._success();
 		}
 		const current = this._published?.table.version ?? 0;
 		if (command.base !== current) {
-			const message = `version ${current} is in force, not ${command.base}`;
+			const message = `table version ${current} is in force, not the base version ${command.base}`;
 			return { ok: false, code: FleetRefusalCode.BaseMoved, message };
 		}
 		if (version <= current) {
-			const message = `version ${version} does not rise above ${current}`;
+			const message = `table version ${version} is not greater than version ${current} in force`;
 			return { ok: false, code: FleetRefusalCode.VersionNotRising, message };
 		}
 		this._revision++;
 		this._published = { table: command.table, document: command.document, changedAt: this._revision };
 		this._digests.set(version, command.digest);
-		dropOldest(this._digests, KEPT_DIGESTS);
-		return this._changed();
+		dropOldest(this._digests, MAX_DIGESTS);
+		return this._notifyChanged();
 	}
 
 	private _setHall(command: SetHallCommand): FleetResult {
 		if (this.isDrained(command.hall) === command.isDrained) {
-			return this._done();
+			return this._success();
 		}
 		this._revision++;
 		const { hall, isDrained } = command;
 		this._halls.set(hall, { hall, isDrained, changedAt: this._revision });
-		return this._changed();
+		return this._notifyChanged();
 	}
 
 	private _changeTargets(command: ChangeTargetsCommand): FleetResult {
-		const effective = command.changes.filter(change => this._isForward(change));
+		const effective = command.changes.filter(change => this._isEffective(change));
 		if (effective.length === 0) {
-			return this._done();
+			return this._success();
 		}
 		this._revision++;
 		effective.forEach(change => this._changeTarget(change));
-		this._dropGoneTargets();
-		return this._changed();
+		this._evictGoneTargets();
+		return this._notifyChanged();
 	}
 
-	private _isForward(change: TargetChange): boolean {
+	private _isEffective(change: TargetChange): boolean {
 		const known = this._targets.get(change.id);
 		if (!known) {
 			return true;
@@ -203,82 +203,82 @@
 	private _changeTarget(change: TargetChange): void {
 		const { id, phase } = change;
 		const bornAt = change.bornAt ?? this._targets.get(id)?.bornAt ?? 0;
-		const known = this._knownLife(id, bornAt);
+		const known = this._findIncarnation(id, bornAt);
 		const unknown = { id, service: '', address: '', hall: '', version: '', slots: 0 };
 		const description = known ?? change.description ?? unknown;
 		if (!known) {
-			// A later life stands where it registered, behind those that registered at its address before.
+			// Moves the record to the end: the map is in registration order, which decides the owner of an address after restore().
 			this._targets.delete(id);
-			this._holders.set(description.address, id);
+			this._targetIdsByAddress.set(description.address, id);
 		}
 		const pacedSenders = known?.pacedSenders ?? change.pacedSenders ?? [];
 		this._targets.set(id, { ...description, bornAt, pacedSenders, phase, changedAt: this._revision });
 	}
 
 	private _paceTargets({ changes }: PaceTargetsCommand): FleetResult {
-		const effective = changes.filter(change => this._changesPace(change));
+		const effective = changes.filter(change => this._isPaceChange(change));
 		if (effective.length === 0) {
-			return this._done();
+			return this._success();
 		}
 		this._revision++;
 		effective.forEach(change => this._paceTarget(change));
-		return this._changed();
+		return this._notifyChanged();
 	}
 
-	private _changesPace({ id, bornAt, limitPerSecond, pacedSenders }: PaceChange): boolean {
-		const known = this._knownLife(id, bornAt);
+	private _isPaceChange({ id, bornAt, limitPerSecond, pacedSenders }: PaceChange): boolean {
+		const known = this._findIncarnation(id, bornAt);
 		if (!known || known.phase === TargetPhase.Gone) {
 			return false;
 		}
-		const isOtherLimit = limitPerSecond !== undefined && limitPerSecond !== (known.limitPerSecond ?? null);
-		return isOtherLimit || (pacedSenders !== undefined && pacedSenders.join() !== known.pacedSenders.join());
+		const isLimitChanged = limitPerSecond !== undefined && limitPerSecond !== (known.limitPerSecond ?? null);
+		return isLimitChanged || (pacedSenders !== undefined && pacedSenders.join() !== known.pacedSenders.join());
 	}
 
 	private _paceTarget({ id, limitPerSecond, pacedSenders }: PaceChange): void {
-		const { limitPerSecond: before, ...known } = this._targets.get(id)!;
-		const after = limitPerSecond === undefined ? before : (limitPerSecond ?? undefined);
+		const { limitPerSecond: previousLimit, ...known } = this._targets.get(id)!;
+		const nextLimit = limitPerSecond === undefined ? previousLimit : (limitPerSecond ?? undefined);
 		this._targets.set(id, {
 			...known,
-			...(after === undefined ? {} : { limitPerSecond: after }),
+			...(nextLimit === undefined ? {} : { limitPerSecond: nextLimit }),
 			pacedSenders: pacedSenders ?? known.pacedSenders,
 			changedAt: this._revision
 		});
 	}
 
-	private _knownLife(id: string, bornAt: number): TargetRecord | undefined {
+	private _findIncarnation(id: string, bornAt: number): TargetRecord | undefined {
 		const known = this._targets.get(id);
 		return known?.bornAt === bornAt ? known : undefined;
 	}
 
-	private _dropGoneTargets(): void {
-		let excess = this._targets.size - KEPT_GONE_TARGETS;
+	private _evictGoneTargets(): void {
+		let excess = this._targets.size - MAX_TARGETS;
 		for (const target of this._targets.values()) {
 			if (excess <= 0) {
 				return;
 			}
 			if (target.phase === TargetPhase.Gone) {
 				this._targets.delete(target.id);
-				if (this._holders.get(target.address) === target.id) {
-					this._holders.delete(target.address);
+				if (this._targetIdsByAddress.get(target.address) === target.id) {
+					this._targetIdsByAddress.delete(target.address);
 				}
-				this._forgotten = Math.max(this._forgotten, target.changedAt);
+				this._compactedRevision = Math.max(this._compactedRevision, target.changedAt);
 				excess--;
 			}
 		}
 	}
 
-	private _changed(): FleetResult {
+	private _notifyChanged(): FleetResult {
 		this._onDidChange.fire(this._revision);
-		return this._done();
+		return this._success();
 	}
 
-	private _done(): FleetResult {
+	private _success(): FleetResult {
 		return { ok: true, revision: this._revision };
 	}
 }
 
-/** A record that was saved before it had all of its fields. */
-function completed(saved: TargetRecord): TargetRecord {
+/** Fills in fields that are missing from records saved by earlier versions. */
+function withDefaults(saved: TargetRecord): TargetRecord {
 	return { ...saved, bornAt: saved.bornAt ?? 0, pacedSenders: saved.pacedSenders ?? [] };
 }
 
--- a/src/plugins/fleet/common/fleetTypes.ts
+++ b/src/plugins/fleet/common/fleetTypes.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the system knows of its targets and entry instances, and the commands that change it. */
+/** Types of the fleet: targets, data halls, entry instances, the published table, and the commands that change them. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { RouteTable } from '../../routes/common/routeTable.js';
@@ -10,169 +10,174 @@
 /** Id of the fleet's part of the replicated state. */
 export const FLEET_PART = 'fleet';
 
-/** Counts changes of the fleet state; each object carries the revision of its last change. */
+/** Number of the last change to the fleet state; each record carries the revision that last changed it. */
 export type FleetRevision = number;
 
-/** The stages of a target's life; it only goes forward. */
+/** Life cycle phases of a target; one incarnation never returns to an earlier phase. */
 export enum TargetPhase {
 	Serving = 'serving',
-	/** It takes no new work and ends soon. */
+	/** Accepts no new requests and is about to shut down. */
 	Leaving = 'leaving',
-	/** It has ended; only a later life comes back under its id. */
+	/** Has shut down; only a later incarnation may register under the same id. */
 	Gone = 'gone'
 }
 
-/** What a target says of itself. */
+/** What a target reports about itself when it registers. */
 export interface TargetDescription {
-	/** Names the target; it may start again under the id that it had. */
+	/** Stays the same when the target restarts. */
 	readonly id: string;
-	/** When this life of it began, as Unix milliseconds of its own clock; 0 where it does not say. A later life replaces an earlier one. */
+	/**
+	 * Start time of this incarnation in Unix milliseconds by the target's own clock; 0 if it does not report one. An incarnation
+	 * with a later start time replaces an earlier one.
+	 */
 	readonly bornAt: number;
 	readonly service: string;
 	/** IPv4 address and port. */
 	readonly address: string;
 	readonly hall: string;
 	readonly version: string;
+	/** Requests that it can execute at the same time. */
 	readonly slots: number;
 }
 
-/** A target as the replicated state has it. */
+/** A target in the replicated state. */
 export interface TargetRecord extends TargetDescription {
 	readonly phase: TargetPhase;
 	readonly changedAt: FleetRevision;
 	/**
-	 * The entry instances that may send to it while what it takes is bounded: while it is cold, or names a limit. Drawn once and
-	 * kept with the target, so that all instances agree on them whatever they hear of each other; none where no entry instance
-	 * was known.
+	 * Names of the entry instances that may send to the target while its request rate is limited, that is while it is cold or
+	 * declares a limit. Stored in the record so that all instances agree on them; empty if no entry instance was known.
 	 */
 	readonly pacedSenders: readonly string[];
-	/** Requests a second that it takes from all instances together, by its own word; left out where it names no limit. */
+	/** Requests per second that the target accepts from all instances together; absent if it declares no limit. */
 	readonly limitPerSecond?: number;
 }
 
-/** A hall whose targets are to get no work, or got it back. */
+/** Whether a data hall is drained: its targets get no new requests. */
 export interface HallRecord {
 	readonly hall: string;
 	readonly isDrained: boolean;
 	readonly changedAt: FleetRevision;
 }
 
-/** A published table together with the document that the operator sent. */
+/** A published route table together with the operator's document. */
 export interface PublishedTable {
 	readonly table: RouteTable;
-	/** The document as it was sent; reads return it unchanged. */
+	/** The document as received; reads return it unchanged. */
 	readonly document: string;
 	readonly changedAt: FleetRevision;
 }
 
-/** Publishes a table on a named base. */
+/** Publishes a table if its base version is the one in force. */
 export interface PublishTableCommand {
 	readonly type: 'publishTable';
-	/** The version that the table is built on; 0 for the first. */
+	/** Version that the table is based on; 0 for the first table. */
 	readonly base: number;
 	readonly table: RouteTable;
 	readonly document: string;
-	/** Digest of the document; the same order sent again is known by it. */
+	/** Digest of the document; identifies a retry of the same command. */
 	readonly digest: string;
 }
 
-/** Drains a hall or takes it back. */
+/** Drains a data hall or puts it back in service. */
 export interface SetHallCommand {
 	readonly type: 'setHall';
 	readonly hall: string;
 	readonly isDrained: boolean;
 }
 
-/** Changes targets; several changes share one entry of the log. */
+/** Changes the phase of targets; several changes may share one log entry. */
 export interface ChangeTargetsCommand {
 	readonly type: 'changeTargets';
 	readonly changes: readonly TargetChange[];
 }
 
-/** One change of one target. */
+/** A phase change of one target, or the registration of a new target or incarnation. */
 export interface TargetChange {
 	readonly phase: TargetPhase;
 	readonly id: string;
-	/** The life that changes; left out for the one that is known. */
+	/** Start time of the incarnation that changes; the registered one if absent. */
 	readonly bornAt?: number;
-	/** Given where the target, or this life of it, is not known yet. */
+	/** Present if the target or this incarnation is not registered yet. */
 	readonly description?: TargetDescription;
-	/** Given with the description. */
+	/** Present together with the description. */
 	readonly pacedSenders?: readonly string[];
 }
 
-/** Changes what all instances together may send to targets, or who of them may. */
+/** Changes rate limits of targets or the entry instances that may send to them. */
 export interface PaceTargetsCommand {
 	readonly type: 'paceTargets';
 	readonly changes: readonly PaceChange[];
 }
 
-/** One change of one life of a target; what is left out stays as it is. */
+/** A change of one incarnation of a target; absent fields stay unchanged. */
 export interface PaceChange {
 	readonly id: string;
 	readonly bornAt: number;
-	/** Requests a second; `null` where it names a limit no more. */
+	/** Requests per second; `null` removes the limit. */
 	readonly limitPerSecond?: number | null;
 	readonly pacedSenders?: readonly string[];
 }
 
-/** Any command of the fleet part. */
+/** Any command on the fleet's part of the replicated state. */
 export type FleetCommand = PublishTableCommand | SetHallCommand | ChangeTargetsCommand | PaceTargetsCommand;
 
-/** Why an order was refused. */
+/** Why a command was rejected. */
 export enum FleetRefusalCode {
-	/** Another version than the named base is in force. */
+	/** The version in force is not the base version of the command. */
 	BaseMoved = 'base-moved',
-	/** The version does not rise above the one in force. */
+	/** The version is not greater than the one in force. */
 	VersionNotRising = 'version-not-rising'
 }
 
-/** What applying a fleet command gives. */
+/** Result of applying a fleet command. */
 export type FleetResult =
 	| { readonly ok: true; readonly revision: FleetRevision }
 	| { readonly ok: false; readonly code: FleetRefusalCode; readonly message: string };
 
-/** Changes since a revision, or everything since the beginning. */
+/** Changes since a revision, or the whole state. */
 export interface FleetChanges {
 	readonly revision: FleetRevision;
-	/** Whether this replaces all that the receiver holds. */
+	/** Whether this is the whole state, which replaces the receiver's. */
 	readonly isWhole: boolean;
 	readonly published?: Omit<PublishedTable, 'document'>;
 	readonly halls: readonly HallRecord[];
 	readonly targets: readonly TargetRecord[];
 }
 
-/** Where an entry instance is and whether it takes callers. */
+/** What an entry instance reports about itself. */
 export interface EntryDescription {
 	readonly name: string;
-	/** Changes with every start. */
+	/** Changes with every start of the process. */
 	readonly incarnation: string;
-	/** Grows with each word of one incarnation; words may overtake each other. */
+	/** Increases with each report of one incarnation; reports may arrive out of order. */
 	readonly sequence: number;
 	readonly hall: string;
 	readonly region: string;
-	/** IPv4 address and port for callers. */
+	/** IPv4 address and port that callers connect to. */
 	readonly callerAddress: string;
-	/** IPv4 address and port for calls between processes. */
+	/** IPv4 address and port for calls between instances. */
 	readonly peerAddress: string;
+	/** Whether it accepts callers. */
 	readonly isReady: boolean;
-	/** The revision of the fleet that it acts by; 0 for none. */
+	/** Fleet revision that it has applied; 0 for none. */
 	readonly revision: FleetRevision;
-	/** Slots that its callers need, by service. */
+	/** Slots needed by its callers, by service. */
 	readonly demand: Readonly<Record<string, number>>;
 }
 
-/** An entry instance and how long ago it was heard. */
-export interface EntrySighting extends EntryDescription {
+/** A report of an entry instance and its age. */
+export interface EntryObservation extends EntryDescription {
 	readonly ageMs: Millis;
 }
 
-/** A heartbeat of one life of a target. */
-export interface HeartbeatWord {
+/** A heartbeat of one incarnation of a target. */
+export interface Heartbeat {
 	readonly id: string;
-	/** When the life began; 0 where the target does not say. */
+	/** Start time of the incarnation; 0 if the target does not report one. */
 	readonly bornAt: number;
-	/** Grows with each heartbeat of one life. */
+	/** Increases with each heartbeat of one incarnation. */
 	readonly sequence: number;
+	/** How much longer the target is cold. */
 	readonly coldLeftMs: Millis;
 }
--- a/src/plugins/fleet/common/fleetView.ts
+++ b/src/plugins/fleet/common/fleetView.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What an entry instance knows of the fleet; pure, fed with the answers of control instances. */
+/** An entry instance's view of the fleet, built from the responses of control instances. Does no I/O. */
 
 import type { Millis } from '../../../base/clock.js';
 import { Emitter } from '../../../base/event.js';
@@ -11,114 +11,114 @@
 import { KnownQuarantine } from './knownQuarantine.js';
 import type { RegionDemand, SyncResponse } from './fleetWire.js';
 
-/** A target as requests are placed by it. */
+/** A target as seen by the placement of requests. */
 export interface KnownTarget {
 	readonly record: TargetRecord;
 	readonly region: string;
-	/** Its heartbeats are overdue. */
+	/** Whether its heartbeats are overdue. */
 	isSilent: boolean;
-	/** Until then it bears little; on the monotonic clock. */
+	/** Until when the target is cold, which limits its request rate; on the monotonic clock. */
 	coldUntil: Millis;
-	/** Part of its objects that it keeps, 0 to 1: less than one where it can't serve all of them. */
+	/** Fraction of its objects that it keeps, 0 to 1; less than 1 if it has too few slots for all of them. */
 	keptPart: number;
-	/** When this view first heard of it, on the monotonic clock; 0 for what was there when the view began. */
+	/** When this incarnation was first reported, on the monotonic clock; 0 if it was part of the first response. */
 	readonly knownSince: Millis;
 }
 
-/** What an instance's own requests say of targets. */
+/** Reachability of targets as observed by this instance's own requests. */
 export interface ITargetWitness {
-	/** When a target last answered; undefined for never. */
+	/** When a target last answered; undefined if never. */
 	answeredAt(id: string): Millis | undefined;
-	/** When a connection to a target last did not come up; undefined for never. */
+	/** When a connection attempt to a target last failed; undefined if never. */
 	unreachableAt(id: string): Millis | undefined;
 }
 
 /**
- * An answer or a failed connection counts against control's word on silence for this long. Less than the three seconds that
- * pass at least between a target's last answer and the word that it is silent: a heartbeat is overdue after 4.5 s, and they
- * come every 1.5 s.
+ * How long an answer or a failed connection counts as evidence for or against overdue heartbeats. Must be below 3 s, the
+ * minimum time from a target's last answer to its being reported silent: heartbeats are sent every 1.5 s and overdue after 4.5 s.
  */
-const WITNESS_AGE_MS = 2500;
+const REACHABILITY_WINDOW_MS = 2500;
 
-/** The fleet as one entry instance sees it. */
+/** The fleet as seen by one entry instance. */
 export class FleetView {
-	/** The suspected and quarantined requests. */
+	/** Suspected and quarantined requests. */
 	readonly quarantine = new KnownQuarantine();
-	private readonly _onDidOutlive = new Emitter<TargetRecord>();
-	/** Fires with the earlier life of a target that has started again under its id. */
-	readonly onDidOutlive = this._onDidOutlive.event;
+	private readonly _onDidRestartTarget = new Emitter<TargetRecord>();
+	/** Fires with the record of the previous incarnation when a target has restarted under the same id. */
+	readonly onDidOutlive = this._onDidRestartTarget.event;
 	private _revision: FleetRevision = 0;
 	private _routes?: RouteIndex;
 	private _drainedHalls = new Set<string>();
 	private readonly _targets = new Map<string, KnownTarget>();
-	private readonly _byService = new Map<string, KnownTarget[]>();
+	private readonly _servingByService = new Map<string, KnownTarget[]>();
 	private _entryCount = 1;
-	private _mostEntries = 1;
+	private _peakEntryCount = 1;
 	private _regionEntries: readonly string[] = [];
 	private _hallPeers: readonly string[] = [];
 	private _senderAddresses: ReadonlyMap<string, string> = new Map();
 	private _demand: RegionDemand = {};
-	private _hasHeardAll = false;
-	private _contradicted: ReadonlySet<string> = new Set();
-	private _witness?: ITargetWitness;
+	private _isComplete = false;
+	private _contradictedRegions: ReadonlySet<string> = new Set();
+	private _reachability?: ITargetWitness;
 
-	/** @param _regionOf the region of a hall; undefined for a hall that is not known */
+	/** @param _regionOf region of a data hall; undefined for an unknown hall */
 	constructor(private readonly _regionOf: (hall: string) => string | undefined) {}
 
-	/** The revision held; 0 before the first answer. */
+	/** Fleet revision of the view; 0 before the first response. */
 	get revision(): FleetRevision {
 		return this._revision;
 	}
 
-	/** The routes in force; undefined before the first table is known. */
+	/** Routes in force; undefined before the first table is received. */
 	get routes(): RouteIndex | undefined {
 		return this._routes;
 	}
 
-	/** Entry instances in the system, at least one; infinite until somebody told who hears of all of them. */
+	/** Number of entry instances in the system, at least 1; infinite until a control instance with complete observations has responded. */
 	get entryCount(): number {
-		return this._hasHeardAll ? this._entryCount : Number.POSITIVE_INFINITY;
+		return this._isComplete ? this._entryCount : Number.POSITIVE_INFINITY;
 	}
 
 	/**
-	 * The most entry instances that this view ever knew of, for parts of what all of them may have: after a cut both sides hear of fewer,
-	 * and their parts must not grow. Who answers right after its own start may know of fewer; to wait for all would refuse callers.
+	 * Highest entry count ever reported, for dividing limits that all entry instances share: in a network partition each side
+	 * counts fewer instances, and their shares must not grow. Before the first complete response it may be too low; waiting for
+	 * that response would mean rejecting callers.
 	 */
 	get mostEntries(): number {
-		return this._mostEntries;
+		return this._peakEntryCount;
 	}
 
-	/** Names of the entry instances of this region. */
+	/** Names of the entry instances in this region. */
 	get regionEntries(): readonly string[] {
 		return this._regionEntries;
 	}
 
-	/** Addresses for calls between processes of the other entry instances of this data hall. */
+	/** Peer addresses of the other entry instances in this data hall. */
 	get hallPeers(): readonly string[] {
 		return this._hallPeers;
 	}
 
-	/** Address for calls between processes of a sender of targets with limits; undefined where it is not heard. */
+	/** Peer address of an entry instance that may send to targets with limits; undefined if it is not live. */
 	senderAddress(name: string): string | undefined {
 		return this._senderAddresses.get(name);
 	}
 
-	/** Regions in which control's latest word on silent targets is not believed, since they answer here. */
+	/** Regions whose targets were last reported silent although they answer this instance; the report is ignored there. */
 	get contradictedRegions(): ReadonlySet<string> {
-		return this._contradicted;
+		return this._contradictedRegions;
 	}
 
-	/** Slots of a service that a region's callers need; undefined where control did not say. */
+	/** Slots of a service needed by the callers of a region; undefined if not reported. */
 	demandOf(service: string, region: string): number | undefined {
 		return this._demand[service]?.[region];
 	}
 
-	/** Targets of a service that may get work. */
+	/** Targets of a service in phase `Serving`. */
 	targetsOf(service: string): readonly KnownTarget[] {
-		return this._byService.get(service) ?? [];
+		return this._servingByService.get(service) ?? [];
 	}
 
-	/** Whether a hall's targets are to get nothing. */
+	/** Whether a data hall is drained: its targets get no new requests. */
 	isDrained(hall: string): boolean {
 		return this._drainedHalls.has(hall);
 	}
@@ -129,8 +129,8 @@
 	}
 
 	/**
-	 * Takes in an answer. One with an older revision changes nothing; one with the same revision, which may come twice where an
-	 * answer was late, brings only what was heard of late.
+	 * Applies a response of a control instance. With an older revision than the view's, only its quarantine is applied; with the
+	 * same revision, which a late response may have, only its quarantine and observations.
 	 */
 	apply(response: SyncResponse, now: Millis): void {
 		if (response.quarantine) {
@@ -142,9 +142,9 @@
 		if (response.changes.revision > this._revision) {
 			this._applyChanges(response.changes, now);
 		}
-		if (response.hasHeardAll || !this._hasHeardAll) {
-			this._hasHeardAll = response.hasHeardAll;
-			this._applyHearsay(response, now);
+		if (response.hasHeardAll || !this._isComplete) {
+			this._isComplete = response.hasHeardAll;
+			this._applyObservations(response, now);
 		}
 		for (const cold of response.coldTargets) {
 			const target = this._targets.get(cold.id);
@@ -154,44 +154,43 @@
 		}
 	}
 
-	/** Names who knows of targets by requests of its own. */
-	setWitness(witness: ITargetWitness): void {
-		this._witness = witness;
+	/** Sets the source of reachability observations. */
+	setWitness(reachability: ITargetWitness): void {
+		this._reachability = reachability;
 	}
 
-	/** Takes in what the answerer heard from others. */
-	private _applyHearsay(response: SyncResponse, now: Millis): void {
+	/** Applies what the control instance has observed of entry instances and targets. */
+	private _applyObservations(response: SyncResponse, now: Millis): void {
 		this._entryCount = Math.max(1, response.entryCount);
-		this._mostEntries = Math.max(this._mostEntries, this._entryCount);
+		this._peakEntryCount = Math.max(this._peakEntryCount, this._entryCount);
 		this._regionEntries = response.regionEntries;
 		this._hallPeers = response.hallPeers;
 		this._senderAddresses = new Map(response.limitSenders?.map(({ name, address }) => [name, address]));
 		this._demand = response.demand;
 		const silent = response.hasHeardAll ? new Set(response.silentTargets) : new Set<string>();
-		this._contradicted = this._findContradicted(silent, now);
-		const kept = new Map(response.crowdedTargets.map(({ id, keptPart }) => [id, keptPart]));
+		this._contradictedRegions = this._findContradictedRegions(silent, now);
+		const keptParts = new Map(response.crowdedTargets.map(({ id, keptPart }) => [id, keptPart]));
 		for (const [id, target] of this._targets) {
-			target.isSilent = silent.has(id) && !this._contradicted.has(target.region);
-			target.keptPart = kept.get(id) ?? 1;
+			target.isSilent = silent.has(id) && !this._contradictedRegions.has(target.region);
+			target.keptPart = keptParts.get(id) ?? 1;
 		}
 	}
 
 	/**
-	 * Regions whose targets are called silent while they answer here. More answers than failed connections of late, among the
-	 * targets that are called silent, say that the word is wrong about all of them: it comes from somebody who does not hear
-	 * the region.
+	 * Regions in which more of the targets reported silent have recently answered than have failed to connect. The control
+	 * instance is then assumed to receive no heartbeats from the region, so that its report is wrong for all targets there.
 	 */
-	private _findContradicted(silent: ReadonlySet<string>, now: Millis): ReadonlySet<string> {
-		const balance = new Map<string, number>();
+	private _findContradictedRegions(silent: ReadonlySet<string>, now: Millis): ReadonlySet<string> {
+		const excessAnswers = new Map<string, number>();
 		for (const id of silent) {
 			const target = this._targets.get(id);
 			if (target) {
-				const said = isRecent(this._witness?.answeredAt(id), now) ? 1 : 0;
-				const denied = isRecent(this._witness?.unreachableAt(id), now) ? 1 : 0;
-				balance.set(target.region, (balance.get(target.region) ?? 0) + said - denied);
+				const answered = isRecent(this._reachability?.answeredAt(id), now) ? 1 : 0;
+				const unreachable = isRecent(this._reachability?.unreachableAt(id), now) ? 1 : 0;
+				excessAnswers.set(target.region, (excessAnswers.get(target.region) ?? 0) + answered - unreachable);
 			}
 		}
-		return new Set([...balance].filter(([, count]) => count > 0).map(([region]) => region));
+		return new Set([...excessAnswers].filter(([, count]) => count > 0).map(([region]) => region));
 	}
 
 	private _applyChanges(changes: FleetChanges, now: Millis): void {
@@ -209,32 +208,32 @@
 		for (const hall of changes.halls) {
 			this._applyHall(hall.hall, hall.isDrained, now);
 		}
-		this._groupByService();
+		this._rebuildServingByService();
 	}
 
 	/**
-	 * @param known the target as it was known before
-	 * @param heardAt when a target that was not known was heard of; 0 where it may have run for long
+	 * @param known the previous state of the target
+	 * @param firstSeenAt when a new target was first reported; 0 if it may have been running for longer
 	 */
-	private _applyTarget(record: TargetRecord, known: KnownTarget | undefined, heardAt: Millis): void {
+	private _applyTarget(record: TargetRecord, known: KnownTarget | undefined, firstSeenAt: Millis): void {
 		if (record.phase === TargetPhase.Gone) {
 			this._targets.delete(record.id);
 			return;
 		}
 		const region = this._regionOf(record.hall) ?? '';
 		const coldMs = this._routes?.service(record.service)?.coldStartMs ?? 0;
-		// A later life holds and knows nothing of what the earlier one did.
-		const before = known?.record.bornAt === record.bornAt ? known : undefined;
-		if (known && !before) {
-			this._onDidOutlive.fire(known.record);
+		// A new incarnation inherits no state from the previous one.
+		const sameIncarnation = known?.record.bornAt === record.bornAt ? known : undefined;
+		if (known && !sameIncarnation) {
+			this._onDidRestartTarget.fire(known.record);
 		}
-		const coldUntil = before?.coldUntil ?? (heardAt > 0 ? heardAt + coldMs : 0);
-		const knownSince = before?.knownSince ?? heardAt;
-		const keptPart = before?.keptPart ?? 1;
+		const coldUntil = sameIncarnation?.coldUntil ?? (firstSeenAt > 0 ? firstSeenAt + coldMs : 0);
+		const knownSince = sameIncarnation?.knownSince ?? firstSeenAt;
+		const keptPart = sameIncarnation?.keptPart ?? 1;
 		this._targets.set(record.id, { record, region, isSilent: false, coldUntil, keptPart, knownSince });
 	}
 
-	/** A hall that is taken back may have turned cold while it was drained. */
+	/** Treats the targets of a hall that returns to service as cold: they may have become so while it was drained. */
 	private _applyHall(hall: string, isDrained: boolean, now: Millis): void {
 		const wasDrained = this._drainedHalls.has(hall);
 		if (isDrained) {
@@ -253,22 +252,22 @@
 		}
 	}
 
-	private _groupByService(): void {
-		this._byService.clear();
+	private _rebuildServingByService(): void {
+		this._servingByService.clear();
 		for (const target of this._targets.values()) {
 			if (target.record.phase !== TargetPhase.Serving) {
 				continue;
 			}
-			const group = this._byService.get(target.record.service);
+			const group = this._servingByService.get(target.record.service);
 			if (group) {
 				group.push(target);
 			} else {
-				this._byService.set(target.record.service, [target]);
+				this._servingByService.set(target.record.service, [target]);
 			}
 		}
 	}
 }
 
 function isRecent(at: Millis | undefined, now: Millis): boolean {
-	return at !== undefined && now - at <= WITNESS_AGE_MS;
+	return at !== undefined && now - at <= REACHABILITY_WINDOW_MS;
 }
--- a/src/plugins/fleet/common/fleetWire.ts
+++ b/src/plugins/fleet/common/fleetWire.ts
@@ -2,123 +2,123 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The methods between entry and control instances, and among control instances, that keep the fleet's state. */
+/** RPC methods of the fleet: between entry and control instances, and among control instances. */
 
 import type { Millis } from '../../../base/clock.js';
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 import type {
 	EntryDescription,
-	EntrySighting,
+	EntryObservation,
 	FleetChanges,
 	FleetCommand,
 	FleetResult,
-	HeartbeatWord,
+	Heartbeat,
 	PublishedTable
 } from './fleetTypes.js';
 import type { KnownRequests, RunReport } from './quarantineTypes.js';
 import type { CrowdedTarget, WorkByTarget } from './targetNeeds.js';
 
-/** An entry instance says that it is there and asks for what changed. */
+/** An entry instance reports itself and asks for changes. */
 export interface SyncRequest {
 	readonly entry: EntryDescription;
-	/** What its callers asked for at the first targets of their objects, since the last call. */
+	/** Work requested by its callers at the first-choice targets of the requested objects, since the last call. */
 	readonly needs: WorkByTarget;
-	/** Limits that targets named, or ended, to this instance, and that the records of these targets do not have. */
+	/** Limits that targets set or removed in responses to this instance and that are not in their records yet. */
 	readonly limits: readonly ToldLimit[];
-	/** Revision of the suspected and quarantined requests that it holds; 0 for none. */
+	/** Revision of the quarantine that the entry instance holds; 0 for none. */
 	readonly quarantineRevision: number;
-	/** How long to wait for a change before answering. */
+	/** How long the control instance may wait for a change before it responds. */
 	readonly waitMs: Millis;
 }
 
-/** What one life of a target says that it takes from all instances together. */
+/** A limit that one incarnation of a target declared for all instances together. */
 export interface ToldLimit {
 	readonly id: string;
 	readonly bornAt: number;
-	/** Requests a second; `null` where it names no limit any more. */
+	/** Requests per second; `null` if the target no longer declares a limit. */
 	readonly perSecond: number | null;
 }
 
-/** An entry instance that holds a part of a target's limit. */
+/** An entry instance that holds a share of a target's limit. */
 export interface SenderAddress {
 	readonly name: string;
-	/** Address for calls between processes. */
+	/** Peer address. */
 	readonly address: string;
 }
 
-/** A control instance and where it is. */
+/** Address and location of a control instance. */
 export interface ControlAddress {
-	/** Address for calls between processes. */
+	/** Peer address. */
 	readonly address: string;
-	/** Its data hall, where it is known. */
+	/** Data hall; absent if unknown. */
 	readonly hall?: string;
 }
 
-/** A target that is cold, and for how much longer. */
+/** A cold target and how much longer it is cold. */
 export interface ColdTarget {
 	readonly id: string;
 	readonly leftMs: Millis;
 }
 
-/** What the control instance knows. */
+/** The state of the fleet as known to a control instance. */
 export interface SyncResponse {
 	readonly changes: FleetChanges;
-	/** The suspected and quarantined requests, where the caller holds an earlier revision of them. */
+	/** Suspected and quarantined requests; present if the caller's revision of them is older. */
 	readonly quarantine?: KnownRequests;
 	readonly controls: readonly ControlAddress[];
-	/** How long ago the answerer was known to be current. */
+	/** How long ago the responding control instance was known to be current. */
 	readonly contactAgeMs: Millis;
 	/**
-	 * Whether the answerer has heard of all that the others hear. Otherwise what it says of entry instances, of silence and
-	 * of needs is a part of what there is, and only somebody who knows nothing goes by it.
+	 * Whether the control instance has the observations of the others as well. If not, its data on entry instances, silent
+	 * targets and demand is partial, and is only used until a complete response has been received.
 	 */
 	readonly hasHeardAll: boolean;
 	/** Number of entry instances in the system. */
 	readonly entryCount: number;
-	/** Names of the entry instances of the caller's region. */
+	/** Names of the entry instances in the caller's region. */
 	readonly regionEntries: readonly string[];
-	/** Addresses for calls between processes of the other entry instances of the caller's data hall. */
+	/** Peer addresses of the other entry instances in the caller's data hall. */
 	readonly hallPeers: readonly string[];
-	/** The senders of targets that name a limit, as far as they are heard. */
+	/** Live entry instances that may send to targets with a limit. */
 	readonly limitSenders: readonly SenderAddress[];
 	/** Targets whose heartbeats are overdue. */
 	readonly silentTargets: readonly string[];
 	readonly coldTargets: readonly ColdTarget[];
-	/** Targets that keep a part of their objects only. */
+	/** Targets that keep only a fraction of their objects. */
 	readonly crowdedTargets: readonly CrowdedTarget[];
-	/** Slots that the callers of each region need, by service and region. */
+	/** Slots needed by callers, by service and region. */
 	readonly demand: RegionDemand;
 }
 
 /** Slots needed, by service and region. */
 export type RegionDemand = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
-/** A heartbeat as another control instance received it. */
-export interface HeartbeatSighting extends HeartbeatWord {
+/** A heartbeat received by another control instance, and its age. */
+export interface HeartbeatObservation extends Heartbeat {
 	readonly ageMs: Millis;
 }
 
-/** What a control instance heard itself since the last exchange. */
+/** What a control instance itself has received since the last exchange. */
 export interface ExchangeRequest {
-	/** Id of the control instance that heard it. */
+	/** Id of the sending control instance. */
 	readonly from: string;
-	readonly entries: readonly EntrySighting[];
-	readonly heartbeats: readonly HeartbeatSighting[];
-	/** What entry instances told it of their callers' needs. */
+	readonly entries: readonly EntryObservation[];
+	readonly heartbeats: readonly HeartbeatObservation[];
+	/** Requested work reported by entry instances. */
 	readonly needs: WorkByTarget;
 }
 
-/** Nothing: the other side sends its own. */
+/** Acknowledgement; the receiver sends its own observations in a call of its own. */
 export interface ExchangeResponse {
 	readonly received: true;
 }
 
-/** An order for the leader. */
+/** A command for the leader. */
 export interface OrderRequest {
 	readonly command: FleetCommand;
 }
 
-/** The result; absent where the answerer does not lead. */
+/** The result; absent if the responding instance is not the leader. */
 export interface OrderResponse {
 	readonly result?: FleetResult;
 }
@@ -128,31 +128,31 @@
 	readonly kind: 'table';
 }
 
-/** The table; `isLeader` says whether the answer counts. */
+/** The table in force; only valid if `isLeader` is true. */
 export interface ReadTableResponse {
 	readonly isLeader: boolean;
 	readonly published?: PublishedTable;
 }
 
-/** Tells of runs that ended their target, or of answers to suspected requests. */
+/** Reports lost runs and answers to suspected requests. */
 export interface ReportRunsRequest {
 	readonly report: RunReport;
-	/** Whether it comes from a control instance, which takes the receiver for the leader. */
+	/** Whether it was forwarded by a control instance that assumes the receiver to be the leader. */
 	readonly isForwarded: boolean;
 }
 
-/** The report is in the replicated log. */
+/** Acknowledges that the report is in the replicated log. */
 export interface ReportRunsResponse {
 	readonly received: true;
 }
 
-/** Keeps an entry instance up to date. */
+/** Synchronizes an entry instance with a control instance. */
 export const syncMethod = defineUnary<SyncRequest, SyncResponse>('fleet', 'Sync');
-/** Spreads sightings among control instances. */
+/** Sends observations of one control instance to another. */
 export const exchangeMethod = defineUnary<ExchangeRequest, ExchangeResponse>('fleet', 'Exchange');
-/** Has the leader count what an entry instance tells of requests. */
+/** Reports lost runs and answered requests for the leader to count. */
 export const reportRunsMethod = defineUnary<ReportRunsRequest, ReportRunsResponse>('fleet', 'ReportRuns');
-/** Hands an order to the leader. */
+/** Submits a command to the leader. */
 export const orderMethod = defineUnary<OrderRequest, OrderResponse>('fleet', 'Order');
-/** Reads the table in force at the leader. */
+/** Reads the table in force from the leader. */
 export const readTableMethod = defineUnary<ReadTableRequest, ReadTableResponse>('fleet', 'ReadTable');
--- a/src/plugins/fleet/common/sightings.ts
+++ b/src/plugins/fleet/common/sightings.ts
@@ -3,110 +3,110 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * What a control instance saw of entry instances and targets, itself or through another one. Kept in memory only:
- * heartbeats stay off the replicated log.
+ * Observations of entry instances and targets, made by this control instance or received from others. Kept in memory only, so
+ * that heartbeats do not go through the replicated log.
  */
 
 import type { Millis } from '../../../base/clock.js';
-import type { EntryDescription, EntrySighting, FleetRevision, HeartbeatWord } from './fleetTypes.js';
-import type { ColdTarget, ExchangeRequest, HeartbeatSighting } from './fleetWire.js';
+import type { EntryDescription, EntryObservation, FleetRevision, Heartbeat } from './fleetTypes.js';
+import type { ColdTarget, ExchangeRequest, HeartbeatObservation } from './fleetWire.js';
 
-/** Time spans by which something counts as gone. */
-export interface SightingTiming {
-	/** An entry instance that was not heard for this long is no longer named. */
+/** Times without a report after which an instance counts as lost. */
+export interface LivenessTimeouts {
+	/** An entry instance without a report for longer than this is no longer live. */
 	readonly entrySilentMs: Millis;
-	/** A target whose heartbeat is older than this is called silent. */
+	/** A target whose last heartbeat is older than this is reported silent. */
 	readonly targetSilentMs: Millis;
 }
 
-/** Within this time a target that goes on says a heartbeat that is heard: they come every 1.5 s, and may need a second try. */
-const REHEARD_MS = 2000;
+/** Time within which a heartbeat of a running target arrives: they are sent every 1.5 s and may need a retry. */
+const REOBSERVE_MS = 2000;
 
 /**
- * An entry instance that says nothing new is passed on at most this often. It speaks twice a second, so that each word would
- * cross the regions; two of these spans and the way are still shorter than the silence after which it is no longer named.
+ * Minimum time between relays of unchanged reports of an entry instance to other control instances, which saves traffic between
+ * regions. Twice this time plus the network delay must stay below the entry timeout.
  */
-const REPEAT_ENTRY_MS = 700;
+const RELAY_INTERVAL_MS = 700;
 
-interface SeenEntry {
+interface ObservedEntry {
 	description: EntryDescription;
 	seenAt: Millis;
-	/** Heard here since the last exchange. */
-	isFresh: boolean;
-	/** What the others were told last, and when. */
-	told?: { readonly description: EntryDescription; readonly at: Millis };
+	/** Whether this instance received it and has not sent it to the others yet. */
+	isUnsent: boolean;
+	/** The description last sent to the others, and when. */
+	lastSent?: { readonly description: EntryDescription; readonly at: Millis };
 }
 
-interface SeenTarget {
+interface ObservedTarget {
 	bornAt: number;
 	sequence: number;
 	seenAt: Millis;
 	coldUntil: Millis;
-	isFresh: boolean;
+	isUnsent: boolean;
 }
 
-/** Sightings with their ages. */
+/** Tracks which entry instances and targets are live. */
 export class Sightings {
-	private readonly _entries = new Map<string, SeenEntry>();
-	private readonly _targets = new Map<string, SeenTarget>();
+	private readonly _entries = new Map<string, ObservedEntry>();
+	private readonly _targets = new Map<string, ObservedTarget>();
 
-	/** @param _startedAt what was never heard counts as heard then */
+	/** @param _startedAt counts as the last heartbeat of targets without one */
 	constructor(
-		private readonly _timing: SightingTiming,
+		private readonly _timeouts: LivenessTimeouts,
 		private readonly _startedAt: Millis
 	) {}
 
-	/** An entry instance spoke to this control instance. */
+	/** Records a report that an entry instance sent to this control instance. */
 	seeEntry(description: EntryDescription, now: Millis): void {
-		if (!this._isOvertaken(description)) {
-			const { told } = this._entries.get(description.name) ?? {};
-			this._entries.set(description.name, { description, seenAt: now, isFresh: true, told });
+		if (!this._isOutdatedEntry(description)) {
+			const { lastSent } = this._entries.get(description.name) ?? {};
+			this._entries.set(description.name, { description, seenAt: now, isUnsent: true, lastSent });
 		}
 	}
 
 	/**
-	 * A target's heartbeat arrived.
-	 * @returns false for one that is older than another already seen
+	 * Records a heartbeat that a target sent to this control instance.
+	 * @returns false if a later one has been observed
 	 */
-	seeHeartbeat(word: HeartbeatWord, now: Millis): boolean {
-		const { id, bornAt, sequence, coldLeftMs } = word;
-		if (this._isOlder(word)) {
+	seeHeartbeat(heartbeat: Heartbeat, now: Millis): boolean {
+		const { id, bornAt, sequence, coldLeftMs } = heartbeat;
+		if (this._isOutdatedHeartbeat(heartbeat)) {
 			return false;
 		}
-		this._targets.set(id, { bornAt, sequence, seenAt: now, coldUntil: now + coldLeftMs, isFresh: true });
+		this._targets.set(id, { bornAt, sequence, seenAt: now, coldUntil: now + coldLeftMs, isUnsent: true });
 		return true;
 	}
 
-	/** When a target's latest heartbeat was heard; undefined for never. */
+	/** When the latest heartbeat of a target was observed; undefined if none was. */
 	heardAt(id: string): Millis | undefined {
 		return this._targets.get(id)?.seenAt;
 	}
 
-	/** A target is gone for good. */
+	/** Drops the observations of a target that is gone. */
 	forgetTarget(id: string): void {
 		this._targets.delete(id);
 	}
 
-	/** Takes in what another control instance heard. */
+	/** Merges observations of another control instance. */
 	merge(exchange: Pick<ExchangeRequest, 'entries' | 'heartbeats'>, now: Millis): void {
-		exchange.entries.forEach(sighting => this._mergeEntry(sighting, now));
+		exchange.entries.forEach(observation => this._mergeEntry(observation, now));
 		exchange.heartbeats.forEach(sighting => this._mergeHeartbeat(sighting, now));
 	}
 
-	/** What was heard here since the last call. */
+	/** Observations of this instance to send to the others; returns each one once. */
 	takeFresh(now: Millis): Pick<ExchangeRequest, 'entries' | 'heartbeats'> {
-		const entries: EntrySighting[] = [];
+		const entries: EntryObservation[] = [];
 		for (const seen of this._entries.values()) {
-			if (seen.isFresh && isDue(seen, now)) {
-				seen.isFresh = false;
-				seen.told = { description: seen.description, at: now };
+			if (seen.isUnsent && isRelayDue(seen, now)) {
+				seen.isUnsent = false;
+				seen.lastSent = { description: seen.description, at: now };
 				entries.push({ ...seen.description, ageMs: now - seen.seenAt });
 			}
 		}
-		const heartbeats: HeartbeatSighting[] = [];
+		const heartbeats: HeartbeatObservation[] = [];
 		for (const [id, seen] of this._targets) {
-			if (seen.isFresh) {
-				seen.isFresh = false;
+			if (seen.isUnsent) {
+				seen.isUnsent = false;
 				const coldLeftMs = Math.max(0, seen.coldUntil - now);
 				const { bornAt, sequence } = seen;
 				heartbeats.push({ id, bornAt, sequence, ageMs: now - seen.seenAt, coldLeftMs });
@@ -115,28 +115,30 @@
 		return { entries, heartbeats };
 	}
 
-	/** Entry instances that were heard lately, or are so by a time that lies in the past. */
+	/**
+	 * Entry instances that were live at a time, which may be in the past; drops those that have long timed out by then.
+	 */
 	liveEntries(now: Millis): EntryDescription[] {
 		const live: EntryDescription[] = [];
 		for (const [name, seen] of this._entries) {
-			if (now - seen.seenAt <= this._timing.entrySilentMs) {
+			if (now - seen.seenAt <= this._timeouts.entrySilentMs) {
 				live.push(seen.description);
-			} else if (now - seen.seenAt > this._timing.entrySilentMs * 10) {
+			} else if (now - seen.seenAt > this._timeouts.entrySilentMs * 10) {
 				this._entries.delete(name);
 			}
 		}
 		return live;
 	}
 
-	/** When an entry instance was last heard; undefined for never, or not for long. */
+	/** When an entry instance last reported; undefined if never, or if it was dropped. */
 	entryHeardAt(name: string): Millis | undefined {
 		return this._entries.get(name)?.seenAt;
 	}
 
-	/** Whether every entry instance that was heard lately acts by a revision or a later one. */
+	/** Whether all live entry instances have applied a revision. */
 	isInForce(revision: FleetRevision, now: Millis): boolean {
 		for (const { description, seenAt } of this._entries.values()) {
-			if (now - seenAt <= this._timing.entrySilentMs && description.revision < revision) {
+			if (now - seenAt <= this._timeouts.entrySilentMs && description.revision < revision) {
 				return false;
 			}
 		}
@@ -145,14 +147,14 @@
 
 	/**
 	 * Whether a target's heartbeats are overdue.
-	 * @param hearingSince since when all heartbeats are heard of here: those of the time before may have been missed
+	 * @param completeSince since when this instance has observed all heartbeats; it may have missed earlier ones
 	 */
-	isSilent(id: string, now: Millis, hearingSince: Millis = Number.NEGATIVE_INFINITY): boolean {
+	isSilent(id: string, now: Millis, completeSince: Millis = Number.NEGATIVE_INFINITY): boolean {
 		const seenAt = this._targets.get(id)?.seenAt ?? this._startedAt;
-		return now - seenAt > this._timing.targetSilentMs && now - hearingSince > REHEARD_MS;
+		return now - seenAt > this._timeouts.targetSilentMs && now - completeSince > REOBSERVE_MS;
 	}
 
-	/** Targets that are still cold. */
+	/** Targets that are still cold, and for how long. */
 	coldTargets(now: Millis): ColdTarget[] {
 		const cold: ColdTarget[] = [];
 		for (const [id, seen] of this._targets) {
@@ -163,24 +165,24 @@
 		return cold;
 	}
 
-	/** Whether a later word of the same incarnation is known. */
-	private _isOvertaken(description: EntryDescription): boolean {
+	/** Whether a later report of the same incarnation has been observed. */
+	private _isOutdatedEntry(description: EntryDescription): boolean {
 		const known = this._entries.get(description.name)?.description;
 		return known?.incarnation === description.incarnation && description.sequence < known.sequence;
 	}
 
-	private _mergeEntry(sighting: EntrySighting, now: Millis): void {
-		const { ageMs, ...description } = sighting;
+	private _mergeEntry(observation: EntryObservation, now: Millis): void {
+		const { ageMs, ...description } = observation;
 		const seenAt = now - ageMs;
 		const known = this._entries.get(description.name);
 		const isNewer = !known || seenAt > known.seenAt;
-		if (isNewer && !this._isOvertaken(description)) {
-			this._entries.set(description.name, { description, seenAt, isFresh: false });
+		if (isNewer && !this._isOutdatedEntry(description)) {
+			this._entries.set(description.name, { description, seenAt, isUnsent: false });
 		}
 	}
 
-	/** Whether a later life of the target, or a later heartbeat of the same life, was heard. */
-	private _isOlder({ id, bornAt, sequence }: HeartbeatWord): boolean {
+	/** Whether a later incarnation, or a later heartbeat of the same incarnation, has been observed. */
+	private _isOutdatedHeartbeat({ id, bornAt, sequence }: Heartbeat): boolean {
 		const known = this._targets.get(id);
 		if (!known || bornAt !== known.bornAt) {
 			return known !== undefined && bornAt < known.bornAt;
@@ -188,11 +190,11 @@
 		return sequence < known.sequence;
 	}
 
-	private _mergeHeartbeat(sighting: HeartbeatSighting, now: Millis): void {
-		const { id, bornAt, sequence, ageMs, coldLeftMs } = sighting;
+	private _mergeHeartbeat(observation: HeartbeatObservation, now: Millis): void {
+		const { id, bornAt, sequence, ageMs, coldLeftMs } = observation;
 		const known = this._targets.get(id);
 		const isSame = known?.bornAt === bornAt && known.sequence === sequence;
-		if (isSame || this._isOlder(sighting)) {
+		if (isSame || this._isOutdatedHeartbeat(observation)) {
 			return;
 		}
 		this._targets.set(id, {
@@ -200,20 +202,20 @@
 			sequence,
 			seenAt: now - ageMs,
 			coldUntil: now + coldLeftMs,
-			isFresh: false
+			isUnsent: false
 		});
 	}
 }
 
-/** Whether the others are to be told of an entry instance now: it says something new, or it is time to say it again. */
-function isDue({ description, told }: SeenEntry, now: Millis): boolean {
-	if (!told || now - told.at >= REPEAT_ENTRY_MS) {
+/** Whether to send an entry instance to the others now: its state has changed, or the relay interval has passed. */
+function isRelayDue({ description, lastSent }: ObservedEntry, now: Millis): boolean {
+	if (!lastSent || now - lastSent.at >= RELAY_INTERVAL_MS) {
 		return true;
 	}
-	const before = told.description;
+	const previous = lastSent.description;
 	return (
-		before.incarnation !== description.incarnation ||
-		before.revision !== description.revision ||
-		before.isReady !== description.isReady
+		previous.incarnation !== description.incarnation ||
+		previous.revision !== description.revision ||
+		previous.isReady !== description.isReady
 	);
 }
--- a/src/plugins/fleet/test/fleetState.test.ts
+++ b/src/plugins/fleet/test/fleetState.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The fleet's replicated state: one table a base, orders sent again, targets that only go forward. */
+/** The fleet's replicated state: one table per base version, idempotent retries, and no return to an earlier target phase. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,12 +17,12 @@
 	return state.apply({ type: 'publishTable', base, table, document: `document ${version}`, digest });
 }
 
-function change(state: FleetState, id: string, phase: TargetPhase) {
+function changePhase(state: FleetState, id: string, phase: TargetPhase) {
 	const description = { id, service: 's', address: '127.0.0.1:1', hall: 'h', version: 'v', slots: 1 };
 	return state.apply({ type: 'changeTargets', changes: [{ id, phase, description }] });
 }
 
-test('of two tables on one base the first is taken and the second refused', () => {
+test('of two tables with the same base version, the first is accepted and the second rejected', () => {
 	const state = new FleetState();
 	assert.equal(publish(state, 3, 0).ok, true);
 	const second = publish(state, 4, 0, 'other');
@@ -30,7 +30,7 @@
 	assert.equal(state.published?.document, 'document 3');
 });
 
-test('the same order again is acknowledged, also after a later one; another content under its number is refused', () => {
+test('a retried publication is acknowledged, also after a later one; different content of the same version is rejected', () => {
 	const state = new FleetState();
 	publish(state, 3, 0);
 	publish(state, 5, 3);
@@ -41,21 +41,21 @@
 	assert.deepEqual([same.ok, !same.ok && same.code], [false, FleetRefusalCode.VersionNotRising]);
 });
 
-test('a target that is gone stays gone, whatever arrives late', () => {
+test('late changes do not return a target to an earlier phase', () => {
 	const state = new FleetState();
-	change(state, 'a', TargetPhase.Serving);
-	change(state, 'a', TargetPhase.Leaving);
-	change(state, 'a', TargetPhase.Serving);
+	changePhase(state, 'a', TargetPhase.Serving);
+	changePhase(state, 'a', TargetPhase.Leaving);
+	changePhase(state, 'a', TargetPhase.Serving);
 	assert.equal(state.target('a')?.phase, TargetPhase.Leaving);
-	change(state, 'a', TargetPhase.Gone);
-	change(state, 'a', TargetPhase.Serving);
+	changePhase(state, 'a', TargetPhase.Gone);
+	changePhase(state, 'a', TargetPhase.Serving);
 	assert.equal(state.target('a')?.phase, TargetPhase.Gone);
 });
 
-test('changes after a revision are just the newer ones, and a saved state is restored whole', () => {
+test('changes after a revision contain only newer records, and a saved state is restored completely', () => {
 	const state = new FleetState();
 	publish(state, 1, 0);
-	change(state, 'a', TargetPhase.Serving);
+	changePhase(state, 'a', TargetPhase.Serving);
 	const revision = state.revision;
 	state.apply({ type: 'setHall', hall: 'h', isDrained: true });
 	const changes = state.changesAfter(revision);
@@ -66,7 +66,7 @@
 	assert.equal(publish(restored, 1, 0).ok, true);
 });
 
-function begin(state: FleetState, bornAt: number, phase = TargetPhase.Serving, address = '127.0.0.1:1') {
+function startIncarnation(state: FleetState, bornAt: number, phase = TargetPhase.Serving, address = '127.0.0.1:1') {
 	const description = { id: 'a', bornAt, service: 's', address, hall: 'h', version: 'v', slots: 1 };
 	return state.apply({
 		type: 'changeTargets',
@@ -74,16 +74,16 @@
 	});
 }
 
-test('a later life of a target replaces the earlier one in one step, and nothing of the earlier one comes back', () => {
+test('a later incarnation of a target replaces the earlier one, and late changes of the earlier one are ignored', () => {
 	const state = new FleetState();
-	begin(state, 100);
+	startIncarnation(state, 100);
 	state.apply({ type: 'changeTargets', changes: [{ id: 'a', phase: TargetPhase.Gone }] });
-	begin(state, 200, TargetPhase.Serving, '127.0.0.1:2');
+	startIncarnation(state, 200, TargetPhase.Serving, '127.0.0.1:2');
 	const { phase, bornAt, pacedSenders } = state.target('a')!;
 	assert.deepEqual([phase, bornAt, pacedSenders], [TargetPhase.Serving, 200, ['e-200']]);
 	assert.deepEqual([state.holderOf('127.0.0.1:1'), state.holderOf('127.0.0.1:2')], [undefined, 'a']);
 	const { revision } = state;
-	begin(state, 100, TargetPhase.Leaving);
+	startIncarnation(state, 100, TargetPhase.Leaving);
 	state.apply({ type: 'changeTargets', changes: [{ id: 'a', bornAt: 100, phase: TargetPhase.Gone }] });
 	assert.deepEqual([state.target('a')?.phase, state.revision], [TargetPhase.Serving, revision]);
 	const restored = new FleetState();
--- a/src/plugins/fleet/test/fleetView.test.ts
+++ b/src/plugins/fleet/test/fleetView.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What an entry instance makes of control's answers, and what control makes of sightings. */
+/** How an entry instance applies responses of control instances, and how control instances track live instances. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -53,7 +53,7 @@
 	};
 }
 
-test('an older answer changes nothing; a target that leaves gets no more work', () => {
+test('a response with an older revision changes no targets; a leaving target gets no more requests', () => {
 	const view = new FleetView(() => 'r');
 	view.apply(response(5, { targets: [target('a')] }), 0);
 	view.apply(response(4, { targets: [target('a', TargetPhase.Gone)] }), 0);
@@ -62,7 +62,7 @@
 	assert.equal(view.targetsOf('s').length, 0);
 });
 
-test('a target that comes later is cold, as are those of a hall that is taken back', () => {
+test('targets that are added later, or whose hall returns to service, are cold', () => {
 	const view = new FleetView(() => 'r');
 	view.apply(response(1, { targets: [target('a')] }), 100);
 	assert.equal(view.target('a')?.coldUntil, 0);
@@ -74,7 +74,7 @@
 	assert.equal(view.target('a')?.coldUntil, 9000 + COLD_START_MS);
 });
 
-test('an answer that replaces everything does not make known targets cold', () => {
+test('a response with the whole state does not make known targets cold', () => {
 	const view = new FleetView(() => 'r');
 	view.apply(response(1, { targets: [target('a')] }), 100);
 	view.apply(response(2, { isWhole: true, targets: [target('a'), target('b')] }), 9000);
@@ -82,21 +82,21 @@
 	assert.equal(view.target('b')?.coldUntil, 9000 + COLD_START_MS);
 });
 
-test('a late heartbeat does not count; sightings of another instance keep their age', () => {
+test('an outdated heartbeat is ignored; merged observations keep their age', () => {
 	const timing = { entrySilentMs: 1000, targetSilentMs: 1000 };
-	const here = new Sightings(timing, 0);
-	assert.equal(here.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 7, coldLeftMs: 0 }, 100), true);
-	assert.equal(here.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 6, coldLeftMs: 0 }, 5000), false);
-	assert.equal(here.isSilent('a', 1200), true);
-	const other = new Sightings(timing, 0);
-	other.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 8, coldLeftMs: 2000 }, 1500);
-	here.merge(other.takeFresh(1700), 1700);
-	assert.equal(here.isSilent('a', 2400), false);
-	assert.deepEqual(here.coldTargets(3000), [{ id: 'a', leftMs: 500 }]);
-	assert.equal(other.takeFresh(1800).heartbeats.length, 0);
+	const first = new Sightings(timing, 0);
+	assert.equal(first.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 7, coldLeftMs: 0 }, 100), true);
+	assert.equal(first.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 6, coldLeftMs: 0 }, 5000), false);
+	assert.equal(first.isSilent('a', 1200), true);
+	const second = new Sightings(timing, 0);
+	second.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 8, coldLeftMs: 2000 }, 1500);
+	first.merge(second.takeFresh(1700), 1700);
+	assert.equal(first.isSilent('a', 2400), false);
+	assert.deepEqual(first.coldTargets(3000), [{ id: 'a', leftMs: 500 }]);
+	assert.equal(second.takeFresh(1800).heartbeats.length, 0);
 });
 
-test('an entry instance that falls silent is no longer named', () => {
+test('an entry instance that stops reporting is no longer live', () => {
 	const sightings = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
 	const entry = describeEntry();
 	sightings.seeEntry(entry, 100);
@@ -104,7 +104,7 @@
 	assert.equal(sightings.liveEntries(1200).length, 0);
 });
 
-test('a word of an entry instance that was overtaken by a later one changes nothing', () => {
+test('an outdated report of an entry instance is ignored', () => {
 	const entry = describeEntry({ sequence: 2, isReady: false });
 	const sightings = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
 	sightings.seeEntry(entry, 100);
@@ -114,22 +114,22 @@
 	assert.equal(sightings.liveEntries(500)[0]?.isReady, true);
 });
 
-test('a change is in force once all entry instances that are heard act by it', () => {
+test('a revision is in force once all live entry instances have applied it', () => {
 	const entry = describeEntry();
-	const here = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	here.seeEntry(entry, 100);
-	assert.equal(here.isInForce(4, 200), true);
-	assert.equal(here.isInForce(5, 200), false);
-	const other = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	other.seeEntry({ ...entry, sequence: 2, revision: 5 }, 300);
-	here.merge(other.takeFresh(400), 400);
-	assert.equal(here.isInForce(5, 500), true);
-	here.seeEntry({ ...entry, name: 'cut off', revision: 1 }, 500);
-	assert.equal(here.isInForce(5, 600), false);
-	assert.equal(here.isInForce(5, 1600), true);
+	const first = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
+	first.seeEntry(entry, 100);
+	assert.equal(first.isInForce(4, 200), true);
+	assert.equal(first.isInForce(5, 200), false);
+	const second = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
+	second.seeEntry({ ...entry, sequence: 2, revision: 5 }, 300);
+	first.merge(second.takeFresh(400), 400);
+	assert.equal(first.isInForce(5, 500), true);
+	first.seeEntry({ ...entry, name: 'cut off', revision: 1 }, 500);
+	assert.equal(first.isInForce(5, 600), false);
+	assert.equal(first.isInForce(5, 1600), true);
 });
 
-test('a word that targets are silent does not count in a region whose targets answer here', () => {
+test('reports of silent targets are ignored in a region whose targets answer this instance', () => {
 	const view = new FleetView(() => 'r');
 	const answered = new Map<string, number>([['a', 9000]]);
 	const unreachable = new Map<string, number>();
@@ -145,17 +145,17 @@
 	assert.deepEqual(
 		view.targetsOf('s').map(known => known.isSilent),
 		[true, true],
-		'as many failed connections as answers leave the word in force'
+		'as many failed connections as answers do not contradict the report'
 	);
 	unreachable.clear();
 	view.apply(silent, 12000);
-	assert.equal(view.target('a')?.isSilent, true, 'an answer of long ago says nothing');
+	assert.equal(view.target('a')?.isSilent, true, 'an old answer does not contradict the report');
 });
 
-test('who has not heard all does not change what is known of silence, needs and instances', () => {
+test('incomplete observations do not change known silent targets, demand and entry count', () => {
 	const view = new FleetView(() => 'r');
 	view.apply({ ...response(1), hasHeardAll: false, entryCount: 2 }, 500);
-	assert.equal(view.entryCount, Number.POSITIVE_INFINITY, 'parts of a sum are not worked out from a few instances');
+	assert.equal(view.entryCount, Number.POSITIVE_INFINITY, 'shares are not computed from an incomplete count');
 	const known = { ...response(2, { targets: [target('a')] }), demand: { s: { r: 5 } }, entryCount: 30 };
 	view.apply(known, 1000);
 	const partial = { ...known, hasHeardAll: false, silentTargets: ['a'], demand: {}, entryCount: 2 };
@@ -165,7 +165,7 @@
 	assert.equal(view.entryCount, 30);
 });
 
-test('a control instance that was deaf for a while calls nobody silent until it could have heard them again', () => {
+test('after an interruption, a control instance reports no target silent until heartbeats could have arrived again', () => {
 	const sightings = new Sightings({ entrySilentMs: 1000, targetSilentMs: 4500 }, 0);
 	sightings.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 1, coldLeftMs: 0 }, 1000);
 	assert.equal(sightings.isSilent('a', 6000, 0), true);
@@ -173,7 +173,7 @@
 	assert.equal(sightings.isSilent('a', 7500, 5000), true);
 });
 
-test('changes that come twice leave silence in force for the targets that requests choose from', () => {
+test('a repeated response keeps later reports of silent targets effective for the targets of a service', () => {
 	const view = new FleetView(() => 'r');
 	const changes = { targets: [target('a')] };
 	view.apply(response(1, changes), 1000);
@@ -182,7 +182,7 @@
 	assert.equal(view.targetsOf('s')[0]?.isSilent, true);
 });
 
-test('an entry instance that says nothing new is passed on now and then, news at once', () => {
+test('unchanged reports of an entry instance are relayed at intervals, changes at once', () => {
 	const sightings = new Sightings({ entrySilentMs: 2500, targetSilentMs: 4500 }, 0);
 	const passedOn = (now: number, revision: number): number => {
 		sightings.seeEntry(describeEntry({ sequence: now, revision }), now);
@@ -195,24 +195,24 @@
 	assert.equal(passedOn(1250, 2), 1);
 });
 
-test('a target that starts again is heard whatever its earlier life had counted, and late words of that life do not count', () => {
-	const here = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	const word = (bornAt: number, sequence: number, coldLeftMs = 0) => ({ id: 'a', bornAt, sequence, coldLeftMs });
-	assert.equal(here.seeHeartbeat(word(100, 5000), 1000), true);
-	assert.equal(here.seeHeartbeat(word(200, 1, 4000), 3000), true);
-	assert.equal(here.seeHeartbeat(word(100, 5001), 3500), false);
-	assert.deepEqual(here.coldTargets(4000), [{ id: 'a', leftMs: 3000 }]);
-	const other = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	other.seeHeartbeat(word(100, 6000), 1000);
-	other.merge(here.takeFresh(4000), 4000);
-	other.merge({ entries: [], heartbeats: [{ ...word(100, 6001), ageMs: 0 }] }, 4500);
-	assert.deepEqual(other.coldTargets(4500), [{ id: 'a', leftMs: 2500 }]);
+test('heartbeats of a restarted target are accepted from sequence 1, and late ones of the earlier incarnation are ignored', () => {
+	const first = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
+	const heartbeat = (bornAt: number, sequence: number, coldLeftMs = 0) => ({ id: 'a', bornAt, sequence, coldLeftMs });
+	assert.equal(first.seeHeartbeat(heartbeat(100, 5000), 1000), true);
+	assert.equal(first.seeHeartbeat(heartbeat(200, 1, 4000), 3000), true);
+	assert.equal(first.seeHeartbeat(heartbeat(100, 5001), 3500), false);
+	assert.deepEqual(first.coldTargets(4000), [{ id: 'a', leftMs: 3000 }]);
+	const second = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
+	second.seeHeartbeat(heartbeat(100, 6000), 1000);
+	second.merge(first.takeFresh(4000), 4000);
+	second.merge({ entries: [], heartbeats: [{ ...heartbeat(100, 6001), ageMs: 0 }] }, 4500);
+	assert.deepEqual(second.coldTargets(4500), [{ id: 'a', leftMs: 2500 }]);
 });
 
-test('a later life of a target is cold and new to an entry instance, which says so once', () => {
+test('a later incarnation of a target is cold and new, and the restart event fires once', () => {
 	const view = new FleetView(() => 'r');
-	const outlived: number[] = [];
-	view.onDidOutlive(({ bornAt }) => outlived.push(bornAt));
+	const restarted: number[] = [];
+	view.onDidOutlive(({ bornAt }) => restarted.push(bornAt));
 	const first = { ...target('a'), bornAt: 100 };
 	const second = { ...target('a'), bornAt: 200, changedAt: 3 };
 	view.apply(response(2, { targets: [first] }), 1000);
@@ -220,7 +220,7 @@
 	view.apply(response(3, { targets: [leaving] }), 2000);
 	view.apply(response(4, { targets: [second] }), 9000);
 	assert.deepEqual(
-		[outlived, view.target('a')?.coldUntil, view.target('a')?.knownSince],
+		[restarted, view.target('a')?.coldUntil, view.target('a')?.knownSince],
 		[[100], 9000 + COLD_START_MS, 9000]
 	);
 	assert.deepEqual(
@@ -230,10 +230,10 @@
 });
 
 /**
- * Until a control instance heard all others, an instance took one connection to each target for its part, and callers got 503 right after a start,
- * beside load for seconds: 73 of 182 requests were served where three targets of four had room.
+ * If the count of entry instances were unknown until the first complete response, an instance would open a single connection to
+ * each target, and callers would get 503 right after a start although targets had free slots.
  */
-test('the most entry instances known count from the first answer on, whoever gives it, and never become fewer', () => {
+test('the peak entry count is set by the first response, complete or not, and never decreases', () => {
 	const view = new FleetView(() => 'r');
 	view.apply({ ...response(5), hasHeardAll: false, entryCount: 2 }, 0);
 	assert.equal(view.mostEntries, 2);
