--- a/src/plugins/fleet/common/controlOrder.ts
+++ b/src/plugins/fleet/common/controlOrder.ts
@@ -3,21 +3,20 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Which control instance an entry instance asks: the nearest one that answers. Each asks twice a second, so that on a fleet
- * of hundreds the way counts: answers from another region cost their bytes there, and three instances that all have heard of
- * from the start would bear the calls of the whole fleet.
+ * Selects the control instance that an entry instance synchronizes with: the nearest one that responds. This limits traffic
+ * between regions and keeps the load of a large fleet off the few control instances that are configured as seeds.
  */
 
 import type { Millis } from '../../../base/clock.js';
 import { rendezvousRank } from '../../../base/hashing.js';
 import type { ControlAddress } from './fleetWire.js';
 
-/** One that did not answer, or was not current, is asked after all others for this long; a restart takes less. */
-const AVOIDED_MS = 3000;
-/** How often a nearer one is tried while another one answers. */
-const TRY_NEARER_MS = 1000;
+/** How long a control instance that failed ranks behind all others; longer than a restart takes. */
+const FAILURE_BACKOFF_MS = 3000;
+/** Minimum time between attempts to switch to a nearer control instance. */
+const NEARER_RETRY_INTERVAL_MS = 1000;
 
-/** Steps of distance; one whose place is not known goes last. */
+/** Distance classes, nearest first. */
 enum Distance {
 	SameHall,
 	SameRegion,
@@ -25,83 +24,87 @@
 	Unknown
 }
 
-/** Where the entry instance is. */
-export interface AskerPlace {
+/** Name and location of the entry instance. */
+export interface EntryLocation {
 	readonly name: string;
 	readonly hall: string;
 	readonly region: string;
 }
 
-/** The control instances in the order in which they are asked; pure, it is told the time. */
+/** Ranks control instances by distance and recent failures. Does no I/O; callers pass the time. */
 export class ControlOrder {
-	/** Distance by address, in the order in which they are asked. */
-	private _ranked: readonly (readonly [string, Distance])[] = [];
+	/** Address and distance of each control instance, nearest first. */
+	private _rankedAddresses: readonly (readonly [string, Distance])[] = [];
 	private readonly _failedAt = new Map<string, Millis>();
-	private _settledOn: string | undefined;
-	private _triedNearerAt: Millis = Number.NEGATIVE_INFINITY;
+	private _activeAddress: string | undefined;
+	private _nearerTriedAt: Millis = Number.NEGATIVE_INFINITY;
 
-	/** @param _regionOf the region of a hall; undefined for a hall that is not known */
+	/** @param _regionOf region of a data hall; undefined for an unknown hall */
 	constructor(
-		private readonly _own: AskerPlace,
+		private readonly _location: EntryLocation,
 		private readonly _regionOf: (hall: string) => string | undefined
 	) {}
 
-	/** The control instance that answers; undefined while none does. */
+	/** Address of the control instance in use; undefined while none gives current responses. */
 	get settledOn(): string | undefined {
-		return this._settledOn;
+		return this._activeAddress;
 	}
 
 	/**
-	 * Takes in which control instances there are.
-	 * @param seeds addresses whose place is not known
+	 * Replaces the known control instances.
+	 * @param seeds configured addresses, whose location is unknown
 	 */
 	learn(controls: readonly ControlAddress[], seeds: readonly string[]): void {
 		const distances = new Map<string, Distance>(seeds.map(address => [address, Distance.Unknown]));
 		controls.forEach(control => distances.set(control.address, this._distanceOf(control)));
-		// Those at the same distance are asked in an order of this instance's own, which spreads the instances over them.
-		const ranked = rendezvousRank(this._own.name, [...distances.keys()]);
-		this._ranked = ranked.map(address => [address, distances.get(address)!] as const).sort(([, a], [, b]) => a - b);
+		// Rendezvous hashing by entry name spreads the entry instances over control instances at the same distance.
+		const byHash = rendezvousRank(this._location.name, [...distances.keys()]);
+		this._rankedAddresses = byHash
+			.map(address => [address, distances.get(address)!] as const)
+			.sort(([, a], [, b]) => a - b);
 	}
 
-	/** The one to ask now; undefined where none is known. */
+	/** Address to use for the next request; undefined if no control instance is known. */
 	next(now: Millis): string | undefined {
-		return this._settledOn ?? this._nearest(now) ?? this._longestFailed();
+		return this._activeAddress ?? this._nearestAvailable(now) ?? this._leastRecentlyFailed();
 	}
 
-	/** All in the order in which they are asked; those that failed of late come last. */
+	/** All addresses: the one in use first, then by distance, those that failed recently last. */
 	inOrder(now: Millis): readonly string[] {
-		const addresses = this._ranked.map(([address]) => address);
-		const avoided = new Set(addresses.filter(address => this._isAvoided(address, now)));
-		const isFirst = (address: string): boolean => address === this._settledOn;
-		const sound = addresses.filter(address => !isFirst(address) && !avoided.has(address));
-		return [...addresses.filter(isFirst), ...sound, ...avoided];
+		const addresses = this._rankedAddresses.map(([address]) => address);
+		const backingOff = new Set(addresses.filter(address => this._isBackingOff(address, now)));
+		const isActive = (address: string): boolean => address === this._activeAddress;
+		const available = addresses.filter(address => !isActive(address) && !backingOff.has(address));
+		return [...addresses.filter(isActive), ...available, ...backingOff];
 	}
 
-	/** A nearer one than the one that answers, if it is time to try it; it counts as tried. */
+	/** An available control instance nearer than the one in use, if a retry is due; starts the next retry interval. */
 	takeNearer(now: Millis): string | undefined {
-		const nearest = this._nearest(now);
+		const nearest = this._nearestAvailable(now);
 		const isNearer =
-			nearest !== undefined && this._settledOn !== undefined && this._rankOf(nearest) < this._rankOf(this._settledOn);
-		if (!isNearer || now - this._triedNearerAt < TRY_NEARER_MS) {
+			nearest !== undefined &&
+			this._activeAddress !== undefined &&
+			this._distanceTo(nearest) < this._distanceTo(this._activeAddress);
+		if (!isNearer || now - this._nearerTriedAt < NEARER_RETRY_INTERVAL_MS) {
 			return undefined;
 		}
-		this._triedNearerAt = now;
+		this._nearerTriedAt = now;
 		return nearest;
 	}
 
-	/** It gave a current answer, late or not. */
+	/** Records a current response, which may have been late; uses this control instance unless the one in use is nearer. */
 	noteCurrent(address: string): void {
 		this._failedAt.delete(address);
-		if (this._settledOn === undefined || this._rankOf(address) <= this._rankOf(this._settledOn)) {
-			this._settledOn = address;
+		if (this._activeAddress === undefined || this._distanceTo(address) <= this._distanceTo(this._activeAddress)) {
+			this._activeAddress = address;
 		}
 	}
 
-	/** It gave no answer in time, or was not current itself. */
+	/** Records that there was no response in time, or that it was not current. */
 	noteFailure(address: string, now: Millis): void {
 		this._failedAt.set(address, now);
-		if (this._settledOn === address) {
-			this._settledOn = undefined;
+		if (this._activeAddress === address) {
+			this._activeAddress = undefined;
 		}
 	}
 
@@ -109,26 +112,26 @@
 		if (hall === undefined) {
 			return Distance.Unknown;
 		}
-		if (hall === this._own.hall) {
+		if (hall === this._location.hall) {
 			return Distance.SameHall;
 		}
-		return this._regionOf(hall) === this._own.region ? Distance.SameRegion : Distance.OtherRegion;
+		return this._regionOf(hall) === this._location.region ? Distance.SameRegion : Distance.OtherRegion;
 	}
 
-	private _rankOf(address: string): Distance {
-		return this._ranked.find(([known]) => known === address)?.[1] ?? Distance.Unknown;
+	private _distanceTo(address: string): Distance {
+		return this._rankedAddresses.find(([known]) => known === address)?.[1] ?? Distance.Unknown;
 	}
 
-	private _nearest(now: Millis): string | undefined {
-		return this._ranked.find(([address]) => !this._isAvoided(address, now))?.[0];
+	private _nearestAvailable(now: Millis): string | undefined {
+		return this._rankedAddresses.find(([address]) => !this._isBackingOff(address, now))?.[0];
 	}
 
-	private _isAvoided(address: string, now: Millis): boolean {
-		return now - (this._failedAt.get(address) ?? Number.NEGATIVE_INFINITY) < AVOIDED_MS;
+	private _isBackingOff(address: string, now: Millis): boolean {
+		return now - (this._failedAt.get(address) ?? Number.NEGATIVE_INFINITY) < FAILURE_BACKOFF_MS;
 	}
 
-	private _longestFailed(): string | undefined {
+	private _leastRecentlyFailed(): string | undefined {
 		const failedAt = ([address]: readonly [string, Distance]): Millis => this._failedAt.get(address) ?? 0;
-		return [...this._ranked].sort((a, b) => failedAt(a) - failedAt(b))[0]?.[0];
+		return [...this._rankedAddresses].sort((a, b) => failedAt(a) - failedAt(b))[0]?.[0];
 	}
 }
--- a/src/plugins/fleet/common/earlierLives.ts
+++ b/src/plugins/fleet/common/earlierLives.ts
@@ -3,61 +3,64 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Tells heartbeats of an earlier life from those of a target that runs. A heartbeat that was held up on its way may arrive
- * after its sender has crashed and another target has registered at the same address; it must bring nobody back.
+ * Detects delayed heartbeats of targets that no longer run. Such a heartbeat may arrive after its sender has crashed and
+ * another target has registered at the same address; it must not register the crashed target again.
  */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** An address whose target was heard this short a time ago is held: heartbeats come every 1.5 s, and one may be late. */
-const HELD_MS = 3000;
-/** Whoever registers at a held address says so again after this time, if it runs; what was held up arrives together. */
-const CONFIRMED_AFTER_MS = 1000;
-/** Registrations that were not confirmed are forgotten after this. */
-const FORGOTTEN_MS = 10000;
+/** Maximum age of the owner's last heartbeat for it to count as live: heartbeats are sent every 1.5 s, and one may be late. */
+const OWNER_LIVE_MS = 3000;
+/**
+ * A new target at the address of a live one is confirmed by a heartbeat this long after its first. Delayed heartbeats arrive
+ * together, so that they confirm nothing.
+ */
+const CONFIRMATION_DELAY_MS = 1000;
+/** Unconfirmed targets are dropped after this time. */
+const PENDING_EXPIRY_MS = 10000;
 
-/** The target that registered last at an address. */
-export interface AddressHolder {
+/** The last target to register at an address. */
+export interface AddressOwner {
 	readonly id: string;
-	/** When it was last heard; undefined for never. */
+	/** When its last heartbeat arrived; undefined if none has. */
 	readonly heardAt: Millis | undefined;
 }
 
-/** Judges heartbeats by who holds their address. */
+/** Detects stale heartbeats by the owner of their address. */
 export class EarlierLives {
-	/** When each target that would register at a held address was first heard. */
-	private readonly _firstHeardAt = new Map<string, Millis>();
+	/** When the first heartbeat of each unconfirmed target arrived, by id. */
+	private readonly _firstHeartbeatAt = new Map<string, Millis>();
 
 	/**
-	 * Whether a heartbeat is to change nothing.
-	 * @param isKnown whether the target has registered
-	 * @param holder who registered last at its address; undefined for nobody, or for one that is gone
+	 * Whether a heartbeat is to be ignored as stale.
+	 * @param isRegistered whether this incarnation of the target is registered
+	 * @param owner the last target to register at its address; undefined if there is none or it is gone
 	 */
-	isStale(id: string, isKnown: boolean, holder: AddressHolder | undefined, now: Millis): boolean {
-		if (!holder || holder.id === id) {
+	isStale(id: string, isRegistered: boolean, owner: AddressOwner | undefined, now: Millis): boolean {
+		if (!owner || owner.id === id) {
 			return false;
 		}
-		return isKnown || (this._isHeld(holder, now) && !this._isConfirmed(id, now));
+		return isRegistered || (this._isLive(owner, now) && !this._isConfirmed(id, now));
 	}
 
-	private _isHeld({ heardAt }: AddressHolder, now: Millis): boolean {
-		return heardAt !== undefined && now - heardAt <= HELD_MS;
+	private _isLive({ heardAt }: AddressOwner, now: Millis): boolean {
+		return heardAt !== undefined && now - heardAt <= OWNER_LIVE_MS;
 	}
 
 	private _isConfirmed(id: string, now: Millis): boolean {
-		this._forget(now);
-		const firstHeardAt = this._firstHeardAt.get(id);
-		if (firstHeardAt === undefined) {
-			this._firstHeardAt.set(id, now);
+		this._dropExpired(now);
+		const firstHeartbeatAt = this._firstHeartbeatAt.get(id);
+		if (firstHeartbeatAt === undefined) {
+			this._firstHeartbeatAt.set(id, now);
 			return false;
 		}
-		return now - firstHeardAt >= CONFIRMED_AFTER_MS;
+		return now - firstHeartbeatAt >= CONFIRMATION_DELAY_MS;
 	}
 
-	private _forget(now: Millis): void {
-		for (const [id, firstHeardAt] of this._firstHeardAt) {
-			if (now - firstHeardAt > FORGOTTEN_MS) {
-				this._firstHeardAt.delete(id);
+	private _dropExpired(now: Millis): void {
+		for (const [id, firstHeartbeatAt] of this._firstHeartbeatAt) {
+			if (now - firstHeartbeatAt > PENDING_EXPIRY_MS) {
+				this._firstHeartbeatAt.delete(id);
 			}
 		}
 	}
--- a/src/plugins/fleet/common/hearingClock.ts
+++ b/src/plugins/fleet/common/hearingClock.ts
@@ -3,45 +3,46 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * When a control instance last heard of all entry instances and targets. One that is cut off, or has just come back, hears
- * of a few only; if it named just these, it would send all callers there, and call the others silent.
+ * Tracks when a control instance had observations of all entry instances and targets, its own and those of other control
+ * instances. An instance that is partitioned or has just recovered observes only a few of them; acting on these alone, it
+ * would direct all callers to a few entry instances and report live targets as silent.
  */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** In touch for this long, an instance has heard of all others through the exchange. */
-const SETTLE_MS = 1000;
-/** How long an instance that is cut off goes by what it heard before. */
-const MEMORY_MS = 20000;
+/** After being connected for this long, an instance has received all observations through the exchange. */
+const EXCHANGE_SETTLE_MS = 1000;
+/** How long a partitioned instance may use its last complete observations. */
+const MAX_RETENTION_MS = 20000;
 
-/** Tells by which time silence is to be judged. */
+/** Times at which the observations of this instance were complete. */
 export class HearingClock {
-	private _inTouchSince: Millis | undefined;
-	private _heardAllAt: Millis | undefined;
+	private _connectedSince: Millis | undefined;
+	private _lastCompleteAt: Millis | undefined;
 
-	/** Takes in whether the instance is in touch with its leader and the others; to be called several times a second. */
-	note(isInTouch: boolean, now: Millis): void {
-		if (!isInTouch) {
-			this._inTouchSince = undefined;
+	/** Sets whether the instance is connected to the leader and to most other control instances; call several times a second. */
+	note(isConnected: boolean, now: Millis): void {
+		if (!isConnected) {
+			this._connectedSince = undefined;
 			return;
 		}
-		this._inTouchSince ??= now;
-		if (now - this._inTouchSince >= SETTLE_MS) {
-			this._heardAllAt = now;
+		this._connectedSince ??= now;
+		if (now - this._connectedSince >= EXCHANGE_SETTLE_MS) {
+			this._lastCompleteAt = now;
 		}
 	}
 
-	/** Since when all are heard of without a gap; undefined where they are not heard of now. */
+	/** Since when observations have been complete without interruption; undefined if they are not. */
 	get hearingSince(): Millis | undefined {
-		return this._inTouchSince !== undefined &&
-			this._inTouchSince + SETTLE_MS <= (this._heardAllAt ?? Number.NEGATIVE_INFINITY)
-			? this._inTouchSince + SETTLE_MS
+		return this._connectedSince !== undefined &&
+			this._connectedSince + EXCHANGE_SETTLE_MS <= (this._lastCompleteAt ?? Number.NEGATIVE_INFINITY)
+			? this._connectedSince + EXCHANGE_SETTLE_MS
 			: undefined;
 	}
 
-	/** The last time at which all were heard of; undefined when that never was, or too long ago. */
+	/** When observations were last complete; undefined if never, or too long ago to be used. */
 	heardAllAt(now: Millis): Millis | undefined {
-		const isRemembered = this._heardAllAt !== undefined && now - this._heardAllAt <= MEMORY_MS;
-		return isRemembered ? this._heardAllAt : undefined;
+		const isRetained = this._lastCompleteAt !== undefined && now - this._lastCompleteAt <= MAX_RETENTION_MS;
+		return isRetained ? this._lastCompleteAt : undefined;
 	}
 }
--- a/src/plugins/fleet/common/viewAge.ts
+++ b/src/plugins/fleet/common/viewAge.ts
@@ -2,59 +2,59 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** How old an entry instance's view of the fleet is, at most. Pure but for the clocks that it is given. */
+/** Computes an upper bound of the age of an entry instance's view of the fleet. */
 
 import { type IClock, type Millis, systemClock } from '../../../base/clock.js';
 import { type ISuspensionWatch, SuspensionWatch } from '../../../base/suspensionWatch.js';
 
-/** When a control instance was asked, as it counts for the age of its answer. */
-export interface AskedMoment {
+/** When a request was sent to a control instance. */
+export interface RequestTimestamp {
 	readonly at: Millis;
-	/** Suspensions that were noticed until then. */
-	readonly suspensions: number;
+	/** Suspensions of the process that were detected by then. */
+	readonly suspensionCount: number;
 }
 
-/** The age of the view. */
+/** Tracks the age of the view. */
 export class ViewAge {
 	private _currentAt: Millis = Number.NEGATIVE_INFINITY;
-	private _suspensions = 0;
+	private _suspensionCount = 0;
 
 	constructor(
 		private readonly _clock: IClock = systemClock,
 		private readonly _watch: ISuspensionWatch = new SuspensionWatch(_clock)
 	) {}
 
-	/** The age now; infinite before the first current answer, and after a suspension until the next one. */
+	/** Infinite before the first current response, and after a suspension until the next one. */
 	ageMs(): Millis {
-		this._noticeSuspension();
+		this._checkSuspension();
 		return this._clock.now() - this._currentAt;
 	}
 
-	/** To be called right before a control instance is asked. */
-	ask(): AskedMoment {
-		this._noticeSuspension();
-		return { at: this._clock.now(), suspensions: this._suspensions };
+	/** Call right before sending a request to a control instance. */
+	ask(): RequestTimestamp {
+		this._checkSuspension();
+		return { at: this._clock.now(), suspensionCount: this._suspensionCount };
 	}
 
 	/**
-	 * An answer came that is current. One to a question from before a suspension may be older than the steady clock says, by as much as
-	 * that took, and does not count.
-	 * @param waitMs how long the answer was to be held back
-	 * @param contactAgeMs its age when it was given
+	 * Records a current response. Ignored if the process was suspended since the request was sent: the monotonic clock does not
+	 * count that time, so the age of the response is unknown.
+	 * @param waitMs how long the control instance was allowed to wait before it responded
+	 * @param contactAgeMs age of the data when the response was sent
 	 */
-	noteCurrent(asked: AskedMoment, waitMs: Millis, contactAgeMs: Millis): void {
-		this._noticeSuspension();
-		if (asked.suspensions === this._suspensions) {
+	noteCurrent(request: RequestTimestamp, waitMs: Millis, contactAgeMs: Millis): void {
+		this._checkSuspension();
+		if (request.suspensionCount === this._suspensionCount) {
 			const now = this._clock.now();
-			const onWayMs = Math.max(0, now - asked.at - waitMs);
-			this._currentAt = Math.max(this._currentAt, now - contactAgeMs - onWayMs);
+			const transitMs = Math.max(0, now - request.at - waitMs);
+			this._currentAt = Math.max(this._currentAt, now - contactAgeMs - transitMs);
 		}
 	}
 
-	/** Time passed that the steady clock did not count: nobody knows how old the view is. */
-	private _noticeSuspension(): void {
+	/** Discards the age of the view after a suspension, whose duration the monotonic clock does not count. */
+	private _checkSuspension(): void {
 		if (this._watch.takeLeap()) {
-			this._suspensions++;
+			this._suspensionCount++;
 			this._currentAt = Number.NEGATIVE_INFINITY;
 		}
 	}
--- a/src/plugins/fleet/test/controlOrder.test.ts
+++ b/src/plugins/fleet/test/controlOrder.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Which control instance an entry instance asks: the nearest that answers, and another while that one is lost. */
+/** An entry instance must use the nearest control instance that responds, and fail over to another while that one is down. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -20,75 +20,75 @@
 	{ address: 'own:1', hall: 'n1' }
 ];
 
-function orderOf(name = 'entry-1'): ControlOrder {
-	const order = new ControlOrder({ name, hall: 'n1', region: 'north' }, hall => HALLS.get(hall));
-	order.learn([], SEEDS);
-	return order;
+function createSelector(name = 'entry-1'): ControlOrder {
+	const selector = new ControlOrder({ name, hall: 'n1', region: 'north' }, hall => HALLS.get(hall));
+	selector.learn([], SEEDS);
+	return selector;
 }
 
-/** An order that was told of all control instances by a seed. */
-function informed(): ControlOrder {
-	const order = orderOf();
-	order.noteCurrent('south:1');
-	order.learn(CONTROLS, SEEDS);
-	return order;
+/** A selector that has learned all control instances from a seed. */
+function createInformedSelector(): ControlOrder {
+	const selector = createSelector();
+	selector.noteCurrent('south:1');
+	selector.learn(CONTROLS, SEEDS);
+	return selector;
 }
 
-test('a fresh process asks the seeds, each in its turn, until one answers', () => {
-	const order = orderOf();
-	const first = order.next(0)!;
-	order.noteFailure(first, 0);
-	const second = order.next(100)!;
+test('a new process tries the seeds in turn until one responds', () => {
+	const selector = createSelector();
+	const first = selector.next(0)!;
+	selector.noteFailure(first, 0);
+	const second = selector.next(100)!;
 	assert.deepEqual([first, second].sort(), SEEDS);
-	order.noteFailure(second, 100);
-	assert.equal(order.next(200), first, 'when all have failed, the one that failed first');
+	selector.noteFailure(second, 100);
+	assert.equal(selector.next(200), first, 'if all have failed, the one that failed first is retried');
 });
 
-test('it goes over to the control instance of its hall once that answers', () => {
-	const order = informed();
-	assert.equal(order.next(1000), 'south:1', 'the one that answers is kept until a nearer one has answered');
-	assert.equal(order.takeNearer(1000), 'own:1');
-	assert.equal(order.takeNearer(1500), undefined, 'tried once a second');
-	order.noteCurrent('own:1');
-	assert.equal(order.next(1600), 'own:1');
-	assert.equal(order.takeNearer(9000), undefined);
+test('switches to the control instance of its own hall once that responds', () => {
+	const selector = createInformedSelector();
+	assert.equal(selector.next(1000), 'south:1', 'keeps the one in use until a nearer one has responded');
+	assert.equal(selector.takeNearer(1000), 'own:1');
+	assert.equal(selector.takeNearer(1500), undefined, 'retried once a second');
+	selector.noteCurrent('own:1');
+	assert.equal(selector.next(1600), 'own:1');
+	assert.equal(selector.takeNearer(9000), undefined);
 });
 
-test('one that failed is left alone for a while, and the next nearest is asked', () => {
-	const order = informed();
-	order.noteCurrent('own:1');
-	order.noteFailure('own:1', 5000);
-	assert.equal(order.next(5000), 'near:1');
-	order.noteCurrent('near:1');
-	assert.equal(order.takeNearer(6000), undefined);
-	assert.equal(order.takeNearer(8100), 'own:1');
+test('a failed control instance is avoided during its backoff, and the next nearest is used', () => {
+	const selector = createInformedSelector();
+	selector.noteCurrent('own:1');
+	selector.noteFailure('own:1', 5000);
+	assert.equal(selector.next(5000), 'near:1');
+	selector.noteCurrent('near:1');
+	assert.equal(selector.takeNearer(6000), undefined);
+	assert.equal(selector.takeNearer(8100), 'own:1');
 });
 
-test('a late answer of one that is further away changes nothing', () => {
-	const order = informed();
-	order.noteCurrent('own:1');
-	order.noteCurrent('south:1');
-	assert.equal(order.next(1000), 'own:1');
+test('a late response of a more distant control instance does not replace the one in use', () => {
+	const selector = createInformedSelector();
+	selector.noteCurrent('own:1');
+	selector.noteCurrent('south:1');
+	assert.equal(selector.next(1000), 'own:1');
 });
 
-test('instances without a control instance in their hall spread over those of their region', () => {
+test('entry instances without a control instance in their hall are spread over those of their region', () => {
 	const controls = Array.from({ length: 3 }, (_, i) => ({ address: `near:${i}`, hall: 'n2' }));
 	const asked = Array.from({ length: 30 }, (_, i) => {
-		const order = orderOf(`entry-${i}`);
-		order.learn(controls, SEEDS);
-		return order.next(0)!;
+		const selector = createSelector(`entry-${i}`);
+		selector.learn(controls, SEEDS);
+		return selector.next(0)!;
 	});
 	const counts = controls.map(({ address }) => asked.filter(other => other === address).length);
 	assert.ok(Math.min(...counts) >= 4, counts.join(' '));
 });
 
-test('in order: the one that answers, the others by distance, those that failed of late last', () => {
-	const order = informed();
-	order.noteFailure('own:1', 0);
-	order.noteCurrent('near:1');
-	const addresses = order.inOrder(100);
+test('addresses are ordered: the one in use, then by distance, recently failed ones last', () => {
+	const selector = createInformedSelector();
+	selector.noteFailure('own:1', 0);
+	selector.noteCurrent('near:1');
+	const addresses = selector.inOrder(100);
 	assert.equal(addresses[0], 'near:1');
 	assert.equal(addresses.at(-1), 'own:1');
 	assert.equal(new Set(addresses).size, addresses.length);
-	assert.equal(order.inOrder(9000)[1], 'own:1');
+	assert.equal(selector.inOrder(9000)[1], 'own:1');
 });
--- a/src/plugins/fleet/test/earlierLives.test.ts
+++ b/src/plugins/fleet/test/earlierLives.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Heartbeats that were held up until another target had their address. */
+/** A delayed heartbeat must not register a crashed target again at an address that another target has taken over. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -10,28 +10,32 @@
 import { FleetState } from '../common/fleetState.js';
 import { TargetPhase } from '../common/fleetTypes.js';
 
-test('a heartbeat of a target whose address another one took changes nothing', () => {
-	const lives = new EarlierLives();
-	const holder = { id: 'new', heardAt: 1000 };
-	assert.equal(lives.isStale('old', true, holder, 9000), true);
-	assert.equal(lives.isStale('new', true, holder, 9000), false);
-	assert.equal(lives.isStale('alone', true, undefined, 9000), false);
+test('a heartbeat of a registered target is stale if another one has taken over its address', () => {
+	const filter = new EarlierLives();
+	const owner = { id: 'new', heardAt: 1000 };
+	assert.equal(filter.isStale('old', true, owner, 9000), true);
+	assert.equal(filter.isStale('new', true, owner, 9000), false);
+	assert.equal(filter.isStale('alone', true, undefined, 9000), false);
 });
 
-test('at an address whose target is heard, only who goes on saying so is registered', () => {
-	const lives = new EarlierLives();
-	const holder = { id: 'here', heardAt: 1000 };
-	assert.equal(lives.isStale('other', false, holder, 1500), true);
-	assert.equal(lives.isStale('other', false, holder, 1510), true, 'what was held up arrives together');
-	assert.equal(lives.isStale('other', false, holder, 2600), false, 'a target that runs says so again');
+test('at the address of a live target, a new target is only registered after a confirming heartbeat', () => {
+	const filter = new EarlierLives();
+	const owner = { id: 'here', heardAt: 1000 };
+	assert.equal(filter.isStale('other', false, owner, 1500), true);
+	assert.equal(
+		filter.isStale('other', false, owner, 1510),
+		true,
+		'delayed heartbeats arrive together and confirm nothing'
+	);
+	assert.equal(filter.isStale('other', false, owner, 2600), false, 'a running target sends a confirming heartbeat');
 });
 
-test('at an address whose target has fallen silent, a new one is registered at once', () => {
-	const lives = new EarlierLives();
-	assert.equal(lives.isStale('next', false, { id: 'crashed', heardAt: 1000 }, 4500), false);
+test('at the address of a silent target, a new target is registered at once', () => {
+	const filter = new EarlierLives();
+	assert.equal(filter.isStale('next', false, { id: 'crashed', heardAt: 1000 }, 4500), false);
 });
 
-test('the state knows who registered last at an address, also after it was saved', () => {
+test('the fleet state keeps the last target registered at an address, also after save and restore', () => {
 	const state = new FleetState();
 	const register = (id: string, phase = TargetPhase.Serving): void => {
 		const description = { id, service: 's', address: '127.0.0.1:1', hall: 'h', version: 'v', slots: 1 };
--- a/src/plugins/fleet/test/entryLookUp.test.ts
+++ b/src/plugins/fleet/test/entryLookUp.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Whom look-ups name: never only the few that an instance happens to hear of. */
+/** Look-ups must not direct all callers to the few entry instances that a control instance has observed so far. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -20,24 +20,24 @@
 	return entries.map(item => item.name);
 }
 
-test('callers are named the ready instances of their region', () => {
+test('a look-up returns the ready instances of the region', () => {
 	const all = [entry('a'), entry('b'), entry('c', 'r1', false), entry('d', 'r2'), entry('e', 'r2')];
 	assert.deepEqual(names(entriesFor(all, 'r1')), ['a', 'b']);
 	assert.deepEqual(names(entriesFor(all, 'elsewhere')), ['a', 'b', 'd', 'e']);
 });
 
-test('a region with few instances left is helped out by the others', () => {
+test('a region with too few instances left gets those of all regions', () => {
 	const many = Array.from({ length: 9 }, (_, i) => entry(`far-${i}`, 'r2'));
 	assert.equal(entriesFor([entry('last'), ...many], 'r1').length, 10);
 	assert.equal(entriesFor([entry('a'), entry('b'), entry('c'), ...many], 'r1').length, 3);
 });
 
-test('one instance left of a region while the others are stopped as planned still serves its region', () => {
+test('the last instance of a region serves it alone while that is enough compared to the mean of the regions', () => {
 	const others = Array.from({ length: 8 }, (_, i) => entry(`far-${i}`, i < 4 ? 'r2' : 'r3'));
 	assert.deepEqual(names(entriesFor([entry('last'), ...others], 'r1')), ['last']);
 });
 
-test('an instance that is cut off goes on naming those that it heard of before', () => {
+test('a partitioned control instance keeps returning the entry instances that it observed before', () => {
 	const sightings = new Sightings({ entrySilentMs: 2500, targetSilentMs: 4500 }, 0);
 	const clock = new HearingClock();
 	for (let now = 0; now <= 2000; now += 250) {
@@ -52,7 +52,7 @@
 	assert.equal(clock.heardAllAt(30000), undefined);
 });
 
-test('an instance that has just started, or is back, waits until it can have heard of all', () => {
+test('after a start or a partition, observations are complete only after the settle time', () => {
 	const clock = new HearingClock();
 	clock.note(true, 100);
 	assert.equal(clock.heardAllAt(200), undefined);
@@ -65,19 +65,19 @@
 	assert.equal(clock.heardAllAt(6100), 6100);
 });
 
-test('an instance that has just started names those that it knew before, until it hears of them', () => {
+test('a control instance that has just started returns remembered instances until they report', () => {
 	const remembered = [entry('a'), entry('b')];
 	assert.deepEqual(names(withRemembered([], remembered)), ['a', 'b']);
 	assert.deepEqual(names(entriesFor(withRemembered([entry('a', 'r1', false)], remembered), 'r1')), ['b']);
 });
 
-test('one that came back without a memory names nobody until it can have heard of all, or has waited for long', () => {
+test('without remembered instances, look-ups are not answered until the start-up wait is over', () => {
 	assert.equal(mayNameHeard([], 500), false);
 	assert.equal(mayNameHeard([entry('a')], 500), true);
 	assert.equal(mayNameHeard([], 3500), true);
 });
 
-test('all are heard of since the time in touch was long enough, and no more once touch is lost', () => {
+test('observations are complete from the end of the settle time until the connection is lost', () => {
 	const clock = new HearingClock();
 	clock.note(true, 100);
 	assert.equal(clock.hearingSince, undefined);
--- a/src/plugins/fleet/test/viewAge.test.ts
+++ b/src/plugins/fleet/test/viewAge.test.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * An entry instance is suspended for a minute, which its steady clock does not count. It took its view for as old as before, some tenths
- * of a second, and said that it was ready, while the fleet had moved on; an answer that had waited for it all that time counted as fresh.
+ * After a suspension of the process, which the monotonic clock does not count, an entry instance must not take its view, or a
+ * response that arrived meanwhile, for current.
  */
 
 import assert from 'node:assert/strict';
@@ -13,13 +13,13 @@
 
 const SUSPENDED_MS = 60000;
 
-/** Two clocks that a test drives; a suspension moves the time of day alone. */
-class TwoClocks {
-	private _steady = 1000;
+/** Monotonic and wall clock driven by a test; a suspension advances the wall clock only. */
+class FakeClock {
+	private _monotonic = 1000;
 	private _wall = 1767630000000;
 
 	now(): number {
-		return this._steady;
+		return this._monotonic;
 	}
 
 	wallNow(): number {
@@ -27,7 +27,7 @@
 	}
 
 	pass(ms: number): void {
-		this._steady += ms;
+		this._monotonic += ms;
 		this._wall += ms;
 	}
 
@@ -36,38 +36,38 @@
 	}
 }
 
-test('a view is as old as its answer was, and what that took beyond the time it was to be held back', () => {
-	const clocks = new TwoClocks();
-	const age = new ViewAge(clocks);
+test('the view age is the age of the response plus its transit time without the allowed wait', () => {
+	const clock = new FakeClock();
+	const age = new ViewAge(clock);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 	const asked = age.ask();
-	clocks.pass(700);
+	clock.pass(700);
 	age.noteCurrent(asked, 500, 30);
 	assert.equal(age.ageMs(), 230);
-	clocks.pass(100);
+	clock.pass(100);
 	assert.equal(age.ageMs(), 330);
 });
 
-test('after a suspension nobody knows how old a view is, until a question from afterwards is answered', () => {
-	const clocks = new TwoClocks();
-	const age = new ViewAge(clocks);
+test('after a suspension the view age is unknown until a later request is answered', () => {
+	const clock = new FakeClock();
+	const age = new ViewAge(clock);
 	age.noteCurrent(age.ask(), 0, 0);
 	const askedBefore = age.ask();
-	clocks.suspend(SUSPENDED_MS);
+	clock.suspend(SUSPENDED_MS);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 	age.noteCurrent(askedBefore, 500, 0);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 	const askedAfter = age.ask();
-	clocks.pass(20);
+	clock.pass(20);
 	age.noteCurrent(askedAfter, 0, 0);
 	assert.equal(age.ageMs(), 20);
 });
 
-test('an answer to a question that a suspension interrupted does not count, whoever looks first', () => {
-	const clocks = new TwoClocks();
-	const age = new ViewAge(clocks);
+test('a response to a request sent before a suspension is ignored, also if it is the first to detect the suspension', () => {
+	const clock = new FakeClock();
+	const age = new ViewAge(clock);
 	const asked = age.ask();
-	clocks.suspend(SUSPENDED_MS);
+	clock.suspend(SUSPENDED_MS);
 	age.noteCurrent(asked, 500, 0);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 });
