--- a/src/plugins/fleet/common/fleetControl.ts
+++ b/src/plugins/fleet/common/fleetControl.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What a control instance offers to whoever speaks with operators, targets and callers. */
+/** Fleet service of a control instance, used by the servers for operators, targets and callers. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { Team } from '../../routes/common/routeTable.js';
@@ -10,7 +10,7 @@
 import type { QuarantineRecord } from './quarantineTypes.js';
 import type { EntryDescription, FleetCommand, FleetResult, PublishedTable, TargetDescription } from './fleetTypes.js';
 
-/** The order has no certain outcome here and now; the caller should ask another control instance. */
+/** The request could not be completed or its outcome is unknown; the client should try another control instance. */
 export class FleetUnavailableError extends Error {
 	constructor(message: string) {
 		super(message);
@@ -18,49 +18,51 @@
 	}
 }
 
-/** A heartbeat of a target. */
+/** A heartbeat as received from a target. */
 export interface TargetHeartbeat {
 	readonly description: TargetDescription;
+	/** Whether the target is about to shut down. */
 	readonly isLeaving: boolean;
-	/** Grows with each heartbeat of one target. */
+	/** Increases with each heartbeat of one incarnation of a target. */
 	readonly sequence: number;
+	/** How much longer the target is cold. */
 	readonly coldLeftMs: Millis;
 }
 
-/** Orders, heartbeats and look-ups on a control instance. */
+/** Commands, heartbeats and look-ups at a control instance. */
 export interface IFleetControl {
 	/**
-	 * Has the leader carry out an order.
-	 * @throws FleetUnavailableError no leader answered, or the outcome is not known
+	 * Submits a command to the leader.
+	 * @throws FleetUnavailableError no leader responded, or the outcome is unknown
 	 */
 	order(command: FleetCommand): Promise<FleetResult>;
 	/**
-	 * The table in force, as the leader has it.
-	 * @throws FleetUnavailableError no leader could be asked
+	 * Reads the table in force from the leader; undefined if none was published.
+	 * @throws FleetUnavailableError no leader could be reached
 	 */
 	readTable(): Promise<PublishedTable | undefined>;
 	/**
-	 * Takes a heartbeat in; resolves when what it changed is in the replicated log.
-	 * @throws FleetUnavailableError this control instance is cut off
+	 * Processes a heartbeat; resolves when the resulting change is in the replicated log.
+	 * @throws FleetUnavailableError this control instance has no recent contact with the leader
 	 */
 	heartbeat(heartbeat: TargetHeartbeat): Promise<void>;
-	/** A target says that it is going; resolves when that is in the replicated log. */
+	/** Marks a target as gone; resolves when the change is in the replicated log. */
 	removeTarget(id: string): Promise<void>;
-	/** A team of the table that this instance knows to be in force; undefined for none. */
+	/** A team of the table in force, as known to this instance; undefined if there is none of that name. */
 	team(name: string): Team | undefined;
 	/**
-	 * The suspected and quarantined requests, the oldest first.
-	 * @throws FleetUnavailableError this control instance may not know all of them
+	 * Suspected and quarantined requests, oldest first.
+	 * @throws FleetUnavailableError this control instance may not have all of them
 	 */
 	quarantine(): readonly QuarantineRecord[];
 	/**
-	 * Lets a request in again; false where nothing was known of it.
-	 * @throws FleetUnavailableError the leader could not be asked
+	 * Clears a suspected or quarantined request; resolves to false if it was not known here.
+	 * @throws FleetUnavailableError no leader could be reached
 	 */
 	release(digest: string): Promise<boolean>;
-	/** The entry instances that a caller in a hall should use, best first. */
+	/** Ready entry instances for a caller in a region; empty while too few entry instances have reported since the start. */
 	lookUp(region: string, hall: string): EntryDescription[];
 }
 
-/** Identifier of the fleet's control side. */
+/** Identifier of the fleet service of control instances. */
 export const IFleetControl = createServiceIdentifier<IFleetControl>('fleetControl');
--- a/src/plugins/fleet/common/fleetSession.ts
+++ b/src/plugins/fleet/common/fleetSession.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What an entry instance offers to its other parts: the fleet as it is known here. */
+/** Session of an entry instance with the control instances. */
 
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
@@ -11,27 +11,26 @@
 import type { SeenRun } from './quarantineTypes.js';
 import type { WorkByTarget } from './targetNeeds.js';
 
-/** The session of an entry instance with control. */
+/** Keeps the fleet view up to date and reports to the control instances. */
 export interface IFleetSession {
-	/** The fleet as it is known here. */
 	readonly view: FleetView;
-	/** Addresses of the control instances for calls between processes, the one that answers this instance first. */
+	/** Peer addresses of the control instances, the one in use first. */
 	controlAddresses(): readonly string[];
-	/** How long ago the view was known to be current. */
+	/** Upper bound of the view's age; infinite before the first current response and after a suspension of the process. */
 	ageMs(): Millis;
-	/** Says to control how many slots this instance's callers need, by service; sent with the next call. */
+	/** Sets the number of slots that this instance's callers need, by service; sent with the next sync. */
 	setDemand(demand: Readonly<Record<string, number>>): void;
-	/** Says to control what callers asked for at the first targets of their objects; sent with the next call. */
+	/** Adds work requested at the first-choice targets of the requested objects; sent with the next sync. */
 	addNeeds(needs: WorkByTarget): void;
-	/** Tells control of a run under which its target ended; sent at once, and again until a control instance has it. */
+	/** Reports a lost run: a request whose target stopped while executing it. Sent at once, and retried until acknowledged. */
 	reportRun(run: SeenRun): void;
-	/** Tells control that a target answered a suspected or quarantined request; sent in the same way. */
+	/** Reports that a target answered a suspected or quarantined request; sent like a lost run. */
 	reportAnswer(digest: string): void;
-	/** Says to control which limits of targets its records do not have; sent at once where there is news, and with each call. */
-	tellLimits(limits: readonly ToldLimit[], hasNews: boolean): void;
-	/** Says to control whether callers may come; sent at once. */
+	/** Sets the target limits that are missing from the replicated records; sent with each sync, and at once if `hasChanged`. */
+	tellLimits(limits: readonly ToldLimit[], hasChanged: boolean): void;
+	/** Sets whether this instance accepts callers; sent at once. */
 	setReady(isReady: boolean): void;
 }
 
-/** Identifier of the session with control. */
+/** Identifier of the session of an entry instance with the control instances. */
 export const IFleetSession = createServiceIdentifier<IFleetSession>('fleetSession');
--- a/src/plugins/fleet/common/lossOrder.ts
+++ b/src/plugins/fleet/common/lossOrder.ts
@@ -3,63 +3,67 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Tells losses apart: targets that end together, with the hall or the region that they are in, may have run the same request at
- * that moment, and say no more of it than one target. So a run counts if it was sent after the last one that counted had ended.
+ * Filters correlated losses: targets that stop together, for instance with their data hall, may have been executing the same
+ * request, and are evidence against it only once. A lost run counts if it was sent after the last counted one had ended.
  */
 
 import type { Millis } from '../../../base/clock.js';
 import type { ToldRun } from './quarantineTypes.js';
 
-/** Requests remembered; beyond that the oldest is forgotten, and its next run counts in any case. */
-const MOST_REMEMBERED = 2048;
+/** Number of requests tracked; above it the oldest is evicted, and the next lost run of that request always counts. */
+const MAX_REQUESTS = 2048;
 
-/** Words of two instances may take times to the leader that differ by this much; a run that was sent later was sent later in any case. */
-const WORD_MS = 500;
+/** Maximum difference between the delays of two reports; a run sent this long after another one had ended was certainly sent later. */
+const MAX_REPORT_SKEW_MS = 500;
 
 /**
- * Targets that end within this time are taken to end together, also where one was sent the request after it was lost with the
- * other: an instance hears of the ends of two targets up to 35 ms apart, the way between regions.
+ * Targets that stop within this time count as one loss, even if the request was sent to the second only after the first had
+ * failed. Must exceed the delay between regions, by which an instance may notice two simultaneous stops apart.
  */
-const SAME_LOSS_MS = 50;
+const SIMULTANEOUS_LOSS_MS = 50;
 
-interface LastLoss {
+interface RecordedLoss {
 	readonly targetId: string;
 	readonly requestId: string;
 	readonly endedAt: Millis;
 }
 
-/** The last loss of each request; pure, it is told the time. */
+/** Tracks the last counted loss of each request. Does no I/O; callers pass the time. */
 export class LossOrder {
-	private readonly _last = new Map<string, LastLoss>();
+	private readonly _lastByDigest = new Map<string, RecordedLoss>();
 
-	/** Whether a run is one that counts, and counts it; the same run told again gets the same answer. */
+	/** Returns whether a lost run counts, and records it if so; a repeated report of the last recorded run is accepted again. */
 	admits(run: ToldRun, now: Millis): boolean {
 		const { digest, requestId, targetId } = run;
-		const last = this._last.get(digest);
+		const last = this._lastByDigest.get(digest);
 		if (last?.requestId === requestId && last.targetId === targetId) {
 			return true;
 		}
 		const endedAt = now - run.endedAgoMs;
-		if (last && !isLater(run, last, now - run.sentAgoMs, endedAt)) {
+		if (last && !isIndependent(run, last, now - run.sentAgoMs, endedAt)) {
 			return false;
 		}
-		this._remember(digest, { requestId, targetId, endedAt });
+		this._recordLoss(digest, { requestId, targetId, endedAt });
 		return true;
 	}
 
-	private _remember(digest: string, loss: LastLoss): void {
-		this._last.delete(digest);
-		this._last.set(digest, loss);
-		if (this._last.size > MOST_REMEMBERED) {
-			this._last.delete(this._last.keys().next().value!);
+	private _recordLoss(digest: string, loss: RecordedLoss): void {
+		this._lastByDigest.delete(digest);
+		this._lastByDigest.set(digest, loss);
+		if (this._lastByDigest.size > MAX_REQUESTS) {
+			this._lastByDigest.delete(this._lastByDigest.keys().next().value!);
 		}
 	}
 }
 
-function isLater(run: ToldRun, last: LastLoss, sentAt: Millis, endedAt: Millis): boolean {
-	if (sentAt >= last.endedAt + WORD_MS) {
+/**
+ * Whether a run was sent after the recorded loss. If it is the next attempt of the same request, or was sent while the request
+ * was already suspected, that is known without comparing times, and only simultaneous stops are excluded.
+ */
+function isIndependent(run: ToldRun, last: RecordedLoss, sentAt: Millis, endedAt: Millis): boolean {
+	if (sentAt >= last.endedAt + MAX_REPORT_SKEW_MS) {
 		return true;
 	}
-	const isOfSameTry = run.requestId === last.requestId && run.afterTargetId === last.targetId;
-	return (isOfSameTry || run.wasSuspected) && endedAt >= last.endedAt + SAME_LOSS_MS;
+	const isNextAttempt = run.requestId === last.requestId && run.afterTargetId === last.targetId;
+	return (isNextAttempt || run.wasSuspected) && endedAt >= last.endedAt + SIMULTANEOUS_LOSS_MS;
 }
--- a/src/plugins/fleet/common/pacedSenders.ts
+++ b/src/plugins/fleet/common/pacedSenders.ts
@@ -3,35 +3,35 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Which entry instances may send to a target while what all of them may send together is bounded: while it is cold, or names a limit.
- * Every instance could keep to a part of the bound by itself, but what instances know of each other differs after a cut or a start, and the
- * parts would add up to more than the whole. So the senders are drawn by a control instance, and stand in the target's record.
+ * Selects the entry instances that may send to a target while its request rate is limited, that is while it is cold or declares
+ * a limit. A control instance selects them and stores them in the target's record: if each entry instance divided the limit by
+ * the number of instances it knows of, the shares could add up to more than the limit after a partition or a start.
  */
 
 import { rendezvousRank } from '../../../base/hashing.js';
 import type { EntryDescription } from './fleetTypes.js';
 
-/** Few, so that each part of the bound is a whole request; two, so that one may end. */
-const PACED_SENDERS = 2;
+/** Few, so that each share allows whole requests; more than one, so that a sender may fail. */
+const MAX_PACED_SENDERS = 2;
 
 /**
- * Draws the senders of a target.
- * @param region where the target is; senders of other regions would cross regions for it
- * @param entries the entry instances heard lately
+ * Selects senders for a target among the ready entry instances of its region.
+ * @param region the target's region
+ * @param entries live entry instances
  */
 export function drawPacedSenders(targetId: string, region: string, entries: readonly EntryDescription[]): string[] {
-	return draw(
+	return selectReady(
 		targetId,
 		entries.filter(entry => entry.region === region)
 	);
 }
 
-/** Draws senders from all regions, for a target that would have none: its region has no entry instances, or is not known. */
+/** Selects senders from all regions, for a target whose region is unknown or has no ready entry instances. */
 export function drawSendersAnywhere(targetId: string, entries: readonly EntryDescription[]): string[] {
-	return draw(targetId, entries);
+	return selectReady(targetId, entries);
 }
 
-function draw(targetId: string, entries: readonly EntryDescription[]): string[] {
+function selectReady(targetId: string, entries: readonly EntryDescription[]): string[] {
 	const names = entries.filter(entry => entry.isReady).map(entry => entry.name);
-	return rendezvousRank(targetId, names).slice(0, PACED_SENDERS);
+	return rendezvousRank(targetId, names).slice(0, MAX_PACED_SENDERS);
 }
--- a/src/plugins/fleet/common/placeSettings.ts
+++ b/src/plugins/fleet/common/placeSettings.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Which data hall lies in which region. */
+/** Settings that assign data halls to regions. */
 
 import * as z from 'zod/mini';
 import { ProcessKind } from '../../../kernel/common/pluginRegistry.js';
@@ -24,10 +24,10 @@
 	keys: {
 		halls: {
 			schema: z.pipe(
-				listSchema(z.string().check(z.regex(HALL_PATTERN, 'HALL:REGION, parted by commas'))),
+				listSchema(z.string().check(z.regex(HALL_PATTERN, 'must be a comma-separated list of HALL:REGION'))),
 				z.transform(parts => new Map(parts.map(part => part.split(':') as [string, string])))
 			),
-			description: 'HALL:REGION for each hall, parted by commas.',
+			description: 'Comma-separated list of HALL:REGION, one for each hall.',
 			default: ''
 		}
 	}
--- a/src/plugins/fleet/common/targetNeeds.ts
+++ b/src/plugins/fleet/common/targetNeeds.ts
@@ -3,108 +3,111 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Which targets are the first place of more objects than they can serve. Objects are spread by a hash, so a few targets get
- * several times the mean, and on a fleet of hundreds of instances each meets a target once in many seconds: nobody sees its
- * queue. What all instances ask for at a target's objects is known as a sum, whether or not it goes there, so a target gives
- * away a part of its objects, the same ones at every instance, without anybody knowing the load of the moment.
+ * Finds targets that are the first choice for more work than they can serve. Objects are assigned to targets by hash, so some
+ * targets get several times the mean, while a single entry instance sends to each too rarely to notice. Control instances sum
+ * the work that all entry instances request at each first-choice target, whether or not it is sent there, and compute which
+ * fraction of its objects the target keeps. All entry instances move the same objects away.
  */
 
 import type { Millis } from '../../../base/clock.js';
 import { type TargetRecord, TargetPhase } from './fleetTypes.js';
 
-/** Work at a target, in slots times seconds, by target id. */
+/** Work by target id, in slot-seconds. */
 export type WorkByTarget = Readonly<Record<string, number>>;
 
-/** A target that keeps a part of its objects only. */
+/** A target that keeps only a fraction of its objects. */
 export interface CrowdedTarget {
 	readonly id: string;
-	/** Part of its objects that stay, 0 to 1. */
+	/** Fraction of its objects that it keeps, 0 to 1. */
 	readonly keptPart: number;
 }
 
-/** Needs are averaged over this time: long enough to count the requests of an object, short against a wave of callers. */
-const SPAN_MS = 4000;
-/** Until needs have been counted this long, they are averaged over this time. */
-const LEAST_SPAN_MS = 1000;
+/** Time constant of the exponential average of requested work. */
+const AVERAGING_TIME_MS = 4000;
+/** Minimum observation time assumed when averaging the work of a new target. */
+const MIN_AVERAGING_TIME_MS = 1000;
 /**
- * Part of its slots up to which a target keeps its objects: with nine slots requests hardly wait below it, and it leaves
- * room for the objects that others give away.
+ * Utilization up to which a target keeps all of its objects. Below it, requests to a target with about nine slots rarely queue,
+ * and there is room for objects moved from other targets.
  */
-const WANTED_FILL = 0.65;
-/** Where targets are filled further on average, each keeps its objects up to this many times the mean. */
-const MOST_OF_MEAN = 1.2;
-/** An object that moves is no longer at hand, so a part changes only when it is off by this much. */
-const LEAST_LESS = 0.05;
-const LEAST_MORE = 0.25;
-
-interface Need {
-	work: number;
+const DESIRED_UTILIZATION = 0.65;
+/** If the mean utilization is higher, a target keeps its objects up to this multiple of the mean. */
+const MAX_RATIO_TO_MEAN = 1.2;
+/** Minimum changes of a kept fraction; smaller ones are ignored, since moved objects lose cache locality. */
+const MIN_DECREASE = 0.05;
+const MIN_INCREASE = 0.25;
+
+/** Exponentially decaying sum of requested work. */
+interface DecayingSum {
+	slotSeconds: number;
 	readonly since: Millis;
 	updatedAt: Millis;
 }
 
-/** The needs by target; pure, it is told the time. */
+/** Work requested at each target. Does no I/O; callers pass the time. */
 export class TargetNeeds {
-	private readonly _needs = new Map<string, Need>();
-	private _fresh = new Map<string, number>();
+	private readonly _sums = new Map<string, DecayingSum>();
+	private _unsent = new Map<string, number>();
 	private _keptParts = new Map<string, number>();
 
-	/** An entry instance says what its callers asked for since its last word. */
+	/** Adds work that an entry instance reported to this control instance. */
 	note(work: WorkByTarget, now: Millis): void {
 		for (const [id, added] of Object.entries(work)) {
-			this._fresh.set(id, (this._fresh.get(id) ?? 0) + added);
+			this._unsent.set(id, (this._unsent.get(id) ?? 0) + added);
 		}
 		this.merge(work, now);
 	}
 
-	/** Another control instance says what entry instances told it. */
+	/** Adds work that was reported to another control instance. */
 	merge(work: WorkByTarget, now: Millis): void {
 		for (const [id, added] of Object.entries(work)) {
-			this._decayed(id, now).work += added;
+			this._decayed(id, now).slotSeconds += added;
 		}
 	}
 
-	/** What entry instances told since the last call. */
+	/** Work reported to this control instance since the last call. */
 	takeFresh(): WorkByTarget {
-		const fresh = Object.fromEntries(this._fresh);
-		this._fresh = new Map();
-		return fresh;
+		const unsent = Object.fromEntries(this._unsent);
+		this._unsent = new Map();
+		return unsent;
 	}
 
-	/** Slots that the requests for a target's objects need. */
+	/** Mean number of slots that the work requested at a target occupies. */
 	slotsNeeded(id: string, now: Millis): number {
-		if (!this._needs.has(id)) {
+		if (!this._sums.has(id)) {
 			return 0;
 		}
-		const { work, since } = this._decayed(id, now);
-		const spanMs = SPAN_MS * (1 - Math.exp(-Math.max(LEAST_SPAN_MS, now - since) / SPAN_MS));
-		return (work * 1000) / spanMs;
+		const { slotSeconds, since } = this._decayed(id, now);
+		const averagingTimeMs =
+			AVERAGING_TIME_MS * (1 - Math.exp(-Math.max(MIN_AVERAGING_TIME_MS, now - since) / AVERAGING_TIME_MS));
+		return (slotSeconds * 1000) / averagingTimeMs;
 	}
 
 	/**
-	 * Works out anew which targets give objects away.
-	 * @param targets all targets held
-	 * @param regionOf the region of a hall
+	 * Recomputes which targets keep only a fraction of their objects.
+	 * @param targets all targets
+	 * @param regionOf region of a data hall
 	 */
 	crowded(targets: Iterable<TargetRecord>, regionOf: (hall: string) => string, now: Millis): CrowdedTarget[] {
 		const serving = [...targets].filter(({ phase }) => phase === TargetPhase.Serving);
 		const groupOf = ({ service, hall }: TargetRecord): string => `${service} ${regionOf(hall)}`;
-		const fills = this._meanFills(serving, groupOf, now);
-		const before = this._keptParts;
+		const meanUtilizations = this._meanUtilizations(serving, groupOf, now);
+		const previous = this._keptParts;
 		this._keptParts = new Map();
 		for (const target of serving) {
-			const most = target.slots * Math.max(WANTED_FILL, MOST_OF_MEAN * fills.get(groupOf(target))!);
-			const wanted = Math.min(1, most / Math.max(this.slotsNeeded(target.id, now), Number.EPSILON));
-			const keptPart = withHysteresis(before.get(target.id) ?? 1, wanted);
+			const maxSlots =
+				target.slots * Math.max(DESIRED_UTILIZATION, MAX_RATIO_TO_MEAN * meanUtilizations.get(groupOf(target))!);
+			const wanted = Math.min(1, maxSlots / Math.max(this.slotsNeeded(target.id, now), Number.EPSILON));
+			const keptPart = withHysteresis(previous.get(target.id) ?? 1, wanted);
 			if (keptPart < 1) {
 				this._keptParts.set(target.id, keptPart);
 			}
 		}
-		this._forget(now);
+		this._dropIdle(now);
 		return [...this._keptParts].map(([id, keptPart]) => ({ id, keptPart }));
 	}
 
-	private _meanFills(
+	private _meanUtilizations(
 		targets: readonly TargetRecord[],
 		groupOf: (target: TargetRecord) => string,
 		now: Millis
@@ -120,29 +123,30 @@
 		return new Map([...sums].map(([group, { needed, slots }]) => [group, needed / Math.max(1, slots)]));
 	}
 
-	private _decayed(id: string, now: Millis): Need {
-		let need = this._needs.get(id);
-		if (!need) {
-			need = { work: 0, since: now, updatedAt: now };
-			this._needs.set(id, need);
+	private _decayed(id: string, now: Millis): DecayingSum {
+		let sum = this._sums.get(id);
+		if (!sum) {
+			sum = { slotSeconds: 0, since: now, updatedAt: now };
+			this._sums.set(id, sum);
 		}
-		need.work *= Math.exp(-(now - need.updatedAt) / SPAN_MS);
-		need.updatedAt = now;
-		return need;
+		sum.slotSeconds *= Math.exp(-(now - sum.updatedAt) / AVERAGING_TIME_MS);
+		sum.updatedAt = now;
+		return sum;
 	}
 
-	/** Drops targets that nobody asks for any more. */
-	private _forget(now: Millis): void {
-		for (const [id, { updatedAt, work }] of this._needs) {
-			if (work * Math.exp(-(now - updatedAt) / SPAN_MS) < 1e-3) {
-				this._needs.delete(id);
+	/** Drops targets at which almost no work is requested any more. */
+	private _dropIdle(now: Millis): void {
+		for (const [id, { updatedAt, slotSeconds }] of this._sums) {
+			if (slotSeconds * Math.exp(-(now - updatedAt) / AVERAGING_TIME_MS) < 1e-3) {
+				this._sums.delete(id);
 			}
 		}
 	}
 }
 
-/** Takes a new part over only where it is off by enough, so that objects do not go to and fro. */
+/** Returns the wanted fraction if it differs enough from the current one, so that objects do not move back and forth. */
 function withHysteresis(current: number, wanted: number): number {
-	const isOff = wanted < current - LEAST_LESS || wanted > current + LEAST_MORE || (wanted >= 1 && current > 0.8);
-	return isOff ? wanted : current;
+	const isSignificant =
+		wanted < current - MIN_DECREASE || wanted > current + MIN_INCREASE || (wanted >= 1 && current > 0.8);
+	return isSignificant ? wanted : current;
 }
