--- a/src/plugins/fleet/test/fleetView.test.ts
+++ b/src/plugins/fleet/test/fleetView.test.ts
@@ -10,7 +10,7 @@
 import { FleetView } from '../common/fleetView.js';
 import { TargetPhase, type TargetRecord } from '../common/fleetTypes.js';
 import type { SyncResponse } from '../common/fleetWire.js';
-import { Sightings } from '../common/sightings.js';
+import { type LivenessTimeouts, Sightings } from '../common/sightings.js';
 
 const COLD_START_MS = 3000;
 
@@ -83,12 +83,12 @@
 });
 
 test('an outdated heartbeat is ignored; merged observations keep their age', () => {
-	const timing = { entrySilentMs: 1000, targetSilentMs: 1000 };
-	const first = new Sightings(timing, 0);
+	const timeouts: LivenessTimeouts = { entrySilentMs: 1000, targetSilentMs: 1000 };
+	const first = new Sightings(timeouts, 0);
 	assert.equal(first.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 7, coldLeftMs: 0 }, 100), true);
 	assert.equal(first.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 6, coldLeftMs: 0 }, 5000), false);
 	assert.equal(first.isSilent('a', 1200), true);
-	const second = new Sightings(timing, 0);
+	const second = new Sightings(timeouts, 0);
 	second.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 8, coldLeftMs: 2000 }, 1500);
 	first.merge(second.takeFresh(1700), 1700);
 	assert.equal(first.isSilent('a', 2400), false);
