--- a/src/plugins/fleet/common/knownQuarantine.ts
+++ b/src/plugins/fleet/common/knownQuarantine.ts
@@ -2,26 +2,26 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The suspected and quarantined requests as an entry instance knows them from control. */
+/** An entry instance's copy of the suspected and quarantined requests. */
 
 import { Emitter } from '../../../base/event.js';
 import { type KnownRequests, phaseOf, QuarantinePhase, type QuarantineRecord } from './quarantineTypes.js';
 
-/** What control told last. */
+/** The latest snapshot received from a control instance. */
 export class KnownQuarantine {
 	private readonly _onDidClear = new Emitter<string>();
-	/** Fires with the digest of each request that is no longer known: it was answered, or an operator lets it in again. */
+	/** Fires with the digest of each request that left the snapshot: a target answered it, an operator released it, or it was evicted. */
 	readonly onDidClear = this._onDidClear.event;
 	private _revision = 0;
 	private _records: ReadonlyMap<string, QuarantineRecord> = new Map();
 	private _pathHashes: ReadonlySet<number> = new Set();
 
-	/** The revision held; 0 before the first. */
+	/** Revision of the current snapshot; 0 before the first. */
 	get revision(): number {
 		return this._revision;
 	}
 
-	/** Takes over what control knows; an earlier revision than the one held changes nothing. */
+	/** Replaces the snapshot; one that is not newer than the current revision is ignored. */
 	apply({ revision, records }: KnownRequests): void {
 		if (revision <= this._revision) {
 			return;
@@ -37,17 +37,16 @@
 		}
 	}
 
-	/** Whether nothing is known of any request. */
+	/** Whether no request is suspected or quarantined. */
 	get isEmpty(): boolean {
 		return this._records.size === 0;
 	}
 
-	/** Whether a request of this host and path may be known; where it is not, its digest need not be worked out. */
+	/** Whether a request for this host and path may be listed; if not, its digest need not be computed. */
 	mayKnow(pathHash: number): boolean {
 		return this._pathHashes.has(pathHash);
 	}
 
-	/** The phase of a request. */
 	phase(digest: string): QuarantinePhase {
 		return phaseOf(this._records.get(digest));
 	}
--- a/src/plugins/fleet/common/quarantineApi.ts
+++ b/src/plugins/fleet/common/quarantineApi.ts
@@ -2,31 +2,31 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the pages of the quarantine say. */
+/** Response format of the control instances' HTTP endpoints for quarantined requests. */
 
 import { type FatalRun, QuarantinePhase } from './quarantineTypes.js';
 
-/** Path of the list; one request's page stands below it, by its digest. */
+/** Path of the list; a single request is addressed as `/quarantine/:digest`. */
 export const QUARANTINE_PAGE = '/quarantine';
 
-/** Phases in words. */
+/** Phase names as shown to operators. */
 export const PHASE_NAMES: Readonly<Record<QuarantinePhase, string>> = {
 	[QuarantinePhase.Clear]: 'clear',
 	[QuarantinePhase.Suspected]: 'suspected',
 	[QuarantinePhase.Quarantined]: 'quarantined'
 };
 
-/** A request as operators see it. */
+/** A suspected or quarantined request in the list. */
 export interface ListedRequest {
 	readonly digest: string;
 	readonly phase: string;
-	/** Team of its caller; empty for none. */
+	/** Team of the caller; empty if the caller belongs to no team. */
 	readonly team: string;
-	/** The tries and targets that count, in order. */
+	/** Counted attempts and their targets, oldest first. */
 	readonly runs: readonly FatalRun[];
 }
 
-/** The list. */
+/** Response body of the list endpoint. */
 export interface QuarantineList {
 	readonly requests: readonly ListedRequest[];
 }
--- a/src/plugins/fleet/common/quarantineState.ts
+++ b/src/plugins/fleet/common/quarantineState.ts
@@ -2,70 +2,70 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The quarantine's part of the replicated state. Deterministic. */
+/** The quarantine section of the replicated state machine. Commands are applied deterministically. */
 
 import { Emitter } from '../../../base/event.js';
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
 import type { CountedRun, KnownRequests, QuarantineRecord } from './quarantineTypes.js';
 import { RequestQuarantine } from './requestQuarantine.js';
 
-/** Id of the part. */
+/** Id of this part of the replicated state. */
 export const QUARANTINE_PART = 'quarantine';
 
-/** Counts runs that ended their targets. */
+/** Records lost runs: executions during which the target terminated. */
 export interface NoteRunsCommand {
 	readonly type: 'noteRuns';
 	readonly runs: readonly CountedRun[];
 }
 
-/** Clears requests that were answered, or that an operator lets in again. */
+/** Clears requests that a target answered or an operator released. */
 export interface ClearRequestsCommand {
 	readonly type: 'clearRequests';
 	readonly digests: readonly string[];
 }
 
-/** Any command of the part. */
+/** Any command of this part. */
 export type QuarantineCommand = NoteRunsCommand | ClearRequestsCommand;
 
-interface SavedQuarantine {
+interface PersistedQuarantine {
 	readonly revision: number;
 	readonly records: readonly QuarantineRecord[];
 }
 
-/** Applies quarantine commands. */
+/** Applies quarantine commands and keeps the resulting snapshot. */
 export class QuarantineState implements IReplicatedPart {
 	readonly id = QUARANTINE_PART;
 	private readonly _onDidChange = new Emitter<KnownRequests>();
-	/** Fires when the suspected or quarantined requests change. */
+	/** Fires with the new snapshot when the suspected or quarantined requests change. */
 	readonly onDidChange = this._onDidChange.event;
 	private readonly _requests = new RequestQuarantine();
-	private _known: KnownRequests = { revision: 0, records: [] };
+	private _snapshot: KnownRequests = { revision: 0, records: [] };
 
-	/** The suspected and quarantined requests; a later change has a greater revision. */
+	/** The suspected and quarantined requests; the revision increases with every change. */
 	get known(): KnownRequests {
-		return this._known;
+		return this._snapshot;
 	}
 
-	/** @returns whether the command changed the known requests */
+	/** @returns whether the command changed the snapshot */
 	apply(body: unknown): boolean {
-		const isChanged = this._change(body as QuarantineCommand);
+		const isChanged = this._execute(body as QuarantineCommand);
 		if (isChanged) {
-			this._show(this._known.revision + 1);
+			this._publish(this._snapshot.revision + 1);
 		}
 		return isChanged;
 	}
 
-	save(): SavedQuarantine {
-		return { revision: this._known.revision, records: this._requests.save() };
+	save(): PersistedQuarantine {
+		return { revision: this._snapshot.revision, records: this._requests.save() };
 	}
 
 	restore(saved: unknown): void {
-		const { revision, records } = saved as SavedQuarantine;
+		const { revision, records } = saved as PersistedQuarantine;
 		this._requests.restore(records);
-		this._show(revision);
+		this._publish(revision);
 	}
 
-	private _change(command: QuarantineCommand): boolean {
+	private _execute(command: QuarantineCommand): boolean {
 		switch (command.type) {
 			case 'noteRuns':
 				return command.runs.filter(run => this._requests.note(run)).length > 0;
@@ -74,8 +74,8 @@
 		}
 	}
 
-	private _show(revision: number): void {
-		this._known = { revision, records: this._requests.known };
-		this._onDidChange.fire(this._known);
+	private _publish(revision: number): void {
+		this._snapshot = { revision, records: this._requests.known };
+		this._onDidChange.fire(this._snapshot);
 	}
 }
--- a/src/plugins/fleet/common/quarantineTypes.ts
+++ b/src/plugins/fleet/common/quarantineTypes.ts
@@ -2,87 +2,90 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Requests that end the targets that run them: what is told of them, and what the replicated state keeps. */
+/**
+ * Types for quarantining requests whose targets terminate while running them: reports from entry instances and the records in
+ * the replicated state. An attempt whose target terminated before answering is called a lost run.
+ */
 
 import type { Millis } from '../../../base/clock.js';
 import type { RequestIdentity } from './requestIdentity.js';
 
-/** How much speaks against a request; a higher phase says more. */
+/** Quarantine status of a request; phases are ordered by severity. */
 export enum QuarantinePhase {
-	/** Nothing, or one target that ended under it, as happens to many requests when a target ends for another reason. */
+	/** Fewer than two lost runs: a single one is expected whenever a target terminates for an unrelated reason. */
 	Clear = 0,
-	/** Two targets ended under it: instances tell when it is answered, and do not send it again by themselves. */
+	/** Two lost runs: entry instances report when it is answered, and do not retry it on their own. */
 	Suspected = 1,
-	/** A third one ended under it: it is sent to no target. */
+	/** Three lost runs: it is no longer sent to any target. */
 	Quarantined = 2
 }
 
-/** A run under which its target ended, as the replicated state keeps it. */
+/** A lost run as stored in the replicated state. */
 export interface FatalRun {
-	/** Id of the caller's try. */
+	/** Id of the caller's attempt. */
 	readonly requestId: string;
 	readonly targetId: string;
 }
 
-/** A request under which targets ended. */
+/** A request and its lost runs. */
 export interface QuarantineRecord extends RequestIdentity {
 	/** Team of the caller; empty for a caller of no team. */
 	readonly team: string;
-	/** Those that count, in order. */
+	/** Counted lost runs, oldest first. */
 	readonly runs: readonly FatalRun[];
 }
 
-/** A run under which its target ended, as it is counted. */
+/** A lost run to be counted for its request. */
 export interface CountedRun extends RequestIdentity, FatalRun {
 	/** Team of the caller; empty for a caller of no team. */
 	readonly team: string;
 }
 
-/** A run under which its target ended, as the instance that sent it tells it. */
+/** A lost run as reported by the entry instance that sent the request; times are relative to when the report is sent. */
 export interface ToldRun extends CountedRun {
-	/** Whether the instance knew, when it sent it, that the request was suspected: then it was sent after those that count. */
+	/** Whether the instance already knew the request as suspected when sending it, and so sent it after the runs counted so far. */
 	readonly wasSuspected: boolean;
-	/** Target that ended under the same try just before; undefined for none. */
+	/** Target of the previous lost run of the same attempt; undefined if there was none. */
 	readonly afterTargetId?: string;
-	/** How long ago it was sent. */
+	/** Time since the request was sent to the target. */
 	readonly sentAgoMs: Millis;
-	/** How long ago its target ended. */
+	/** Time since the target terminated. */
 	readonly endedAgoMs: Millis;
 }
 
-/** The same with the times of the instance that saw it. */
+/** A lost run with times on the monotonic clock of the entry instance that observed it. */
 export interface SeenRun extends Omit<ToldRun, 'sentAgoMs' | 'endedAgoMs'> {
-	/** When it was sent, on the monotonic clock. */
+	/** When the request was sent to the target. */
 	readonly sentAt: Millis;
-	/** When its target ended. */
+	/** When the target terminated. */
 	readonly endedAt: Millis;
 }
 
-/** A run as it is told at a moment of the clock of who saw it. */
+/** Converts to relative times; `now` is on the same monotonic clock as the run. */
 export function told({ sentAt, endedAt, ...run }: SeenRun, now: Millis): ToldRun {
 	return { ...run, sentAgoMs: now - sentAt, endedAgoMs: now - endedAt };
 }
 
-/** The suspected and quarantined requests. */
+/** All suspected and quarantined requests at one revision. */
 export interface KnownRequests {
-	/** Grows with each change; 0 where there never was one. */
+	/** Increases with every change; 0 before the first. */
 	readonly revision: number;
 	readonly records: readonly QuarantineRecord[];
 }
 
-/** What an entry instance tells of requests. */
+/** What an entry instance reports about requests. */
 export interface RunReport {
 	readonly endedRuns: readonly ToldRun[];
 	/** Digests of suspected requests that a target answered. */
 	readonly answered: readonly string[];
 }
 
-/** Targets that ended under a request, one after the other, until it is suspected. */
+/** Number of counted lost runs from which a request is suspected. */
 export const RUNS_TO_SUSPECT = 2;
-/** The same until it is sent to no target any more: three are what callers' contracts allow it. */
+/** Number from which it is quarantined; callers' contracts allow a request to terminate at most three targets. */
 export const RUNS_TO_QUARANTINE = 3;
 
-/** The phase that the counted runs of a request give. */
+/** Derives the phase from the number of counted lost runs. */
 export function phaseOf(record: Pick<QuarantineRecord, 'runs'> | undefined): QuarantinePhase {
 	const count = record?.runs.length ?? 0;
 	if (count < RUNS_TO_SUSPECT) {
--- a/src/plugins/fleet/common/requestIdentity.ts
+++ b/src/plugins/fleet/common/requestIdentity.ts
@@ -2,12 +2,12 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Tells a request that its caller sends again from all other requests. */
+/** Identifies a request across retries by its caller. */
 
-/** What stays the same when a caller comes again with a request, at whichever instance. */
+/** Identity of a request; the same for each retry, at any entry instance. */
 export interface RequestIdentity {
 	/** SHA-256 of caller, method, host, path and body, in base64url. */
 	readonly digest: string;
-	/** Hash of host and path; a request that differs in it is another one, so that hardly any request needs a digest. */
+	/** Hash of host and path, a cheap pre-check: the digest is computed only for requests whose hash matches. */
 	readonly pathHash: number;
 }
--- a/src/plugins/fleet/common/requestQuarantine.ts
+++ b/src/plugins/fleet/common/requestQuarantine.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Counts the targets that ended under requests. Deterministic: control instances apply it from the replicated log, and an entry
- * instance keeps one of its own for the time in which it hears nothing of control.
+ * Counts lost runs per request. Deterministic, since control instances apply it from the replicated log; an entry instance keeps
+ * a local one as a fallback while it has no connection to the control instances.
  */
 
 import {
@@ -16,82 +16,81 @@
 } from './quarantineTypes.js';
 
 /**
- * Most records kept in each phase. A target that ends leaves one for each request that it was running, and most of these never
- * come again; of the others each entry instance holds a copy, and those that are quarantined are the last to be dropped.
+ * Maximum number of records per phase. A terminating target adds a clear record for each request it was running; suspected and
+ * quarantined records are copied to every entry instance. Separate limits keep records of one phase from evicting others.
  */
-const MOST_RECORDS: Readonly<Record<QuarantinePhase, number>> = {
+const MAX_RECORDS: Readonly<Record<QuarantinePhase, number>> = {
 	[QuarantinePhase.Clear]: 1024,
 	[QuarantinePhase.Suspected]: 128,
 	[QuarantinePhase.Quarantined]: 128
 };
 
-/** Requests under which targets ended. */
+/** The requests with lost runs. */
 export class RequestQuarantine {
-	/** By digest, the one that changed last at the end. */
+	/** By digest, least recently changed first. */
 	private readonly _records = new Map<string, QuarantineRecord>();
 
-	/** The phase of a request. */
 	phase(digest: string): QuarantinePhase {
 		return phaseOf(this._records.get(digest));
 	}
 
-	/** One request; undefined where no target ended under it. */
+	/** The record of a request; undefined if it has no lost runs. */
 	record(digest: string): QuarantineRecord | undefined {
 		return this._records.get(digest);
 	}
 
-	/** Requests that are suspected or quarantined, the oldest first. */
+	/** Suspected and quarantined requests, least recently changed first. */
 	get known(): readonly QuarantineRecord[] {
-		return [...this._records.values()].filter(isKnown);
+		return [...this._records.values()].filter(isActive);
 	}
 
-	/** Everything, the oldest first. */
+	/** All records, least recently changed first. */
 	save(): readonly QuarantineRecord[] {
 		return [...this._records.values()];
 	}
 
-	/** Replaces everything. */
+	/** Replaces all records. */
 	restore(records: readonly QuarantineRecord[]): void {
 		this._records.clear();
 		records.forEach(record => this._records.set(record.digest, record));
 	}
 
 	/**
-	 * Counts a run under which its target ended; the same one again changes nothing.
-	 * @returns whether the known requests changed
+	 * Records a lost run; a run that is already recorded is ignored.
+	 * @returns whether the suspected or quarantined requests changed
 	 */
 	note(run: CountedRun): boolean {
 		const { digest, pathHash, team, requestId, targetId } = run;
 		const runs = this._records.get(digest)?.runs ?? [];
-		const isTold = runs.some(other => other.requestId === requestId && other.targetId === targetId);
-		if (isTold || runs.length >= RUNS_TO_QUARANTINE) {
+		const isRecorded = runs.some(other => other.requestId === requestId && other.targetId === targetId);
+		if (isRecorded || runs.length >= RUNS_TO_QUARANTINE) {
 			return false;
 		}
 		this._records.delete(digest);
 		const record = { digest, pathHash, team, runs: [...runs, { requestId, targetId }] };
 		this._records.set(digest, record);
-		this._dropExcess(phaseOf(record));
-		return isKnown(record);
+		this._evictExcess(phaseOf(record));
+		return isActive(record);
 	}
 
 	/**
-	 * A target answered the request, or an operator lets it in again.
-	 * @returns whether the known requests changed
+	 * Removes a request that a target answered or an operator released.
+	 * @returns whether the suspected or quarantined requests changed
 	 */
 	clear(digest: string): boolean {
 		const record = this._records.get(digest);
 		this._records.delete(digest);
-		return record !== undefined && isKnown(record);
+		return record !== undefined && isActive(record);
 	}
 
-	/** Drops the oldest records of a phase beyond their number, those of the team that has most of them first. */
-	private _dropExcess(phase: QuarantinePhase): void {
-		const most = MOST_RECORDS[phase];
-		if (this._records.size <= most) {
+	/** Evicts records of a phase beyond its limit: each time the oldest of the team with the most records. */
+	private _evictExcess(phase: QuarantinePhase): void {
+		const maxRecords = MAX_RECORDS[phase];
+		if (this._records.size <= maxRecords) {
 			return;
 		}
 		const records = [...this._records.values()].filter(record => phaseOf(record) === phase);
-		for (let excess = records.length - most; excess > 0; excess--) {
+		for (let excess = records.length - maxRecords; excess > 0; excess--) {
 			const team = largestTeam(records);
 			const index = records.findIndex(record => record.team === team);
 			this._records.delete(records[index]!.digest);
@@ -100,7 +99,7 @@
 	}
 }
 
-function isKnown(record: QuarantineRecord): boolean {
+function isActive(record: QuarantineRecord): boolean {
 	return phaseOf(record) !== QuarantinePhase.Clear;
 }
 
--- a/src/plugins/fleet/test/quarantine.test.ts
+++ b/src/plugins/fleet/test/quarantine.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What is counted of requests that end targets: order of losses, bounds by team, answers, and what a restart keeps. */
+/** Counting of lost runs: correlated losses, eviction per team, cleared requests, and persistence. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -16,18 +16,18 @@
 	return { digest, pathHash: digest.length, team, requestId: `r-${number}`, targetId: `t-${number}` };
 }
 
-function toldRun(number: number, sentAt: number, endedAt: number, more: Partial<ToldRun> = {}): ToldRun {
+function reportedRun(number: number, sentAt: number, endedAt: number, more: Partial<ToldRun> = {}): ToldRun {
 	return { ...run('d', number), wasSuspected: false, sentAgoMs: -sentAt, endedAgoMs: -endedAt, ...more };
 }
 
-/** Counts runs of one request. */
-function end(quarantine: RequestQuarantine, digest: string, count: number, team = ''): void {
+/** Records a number of lost runs of one request. */
+function recordRuns(quarantine: RequestQuarantine, digest: string, count: number, team = ''): void {
 	for (let i = 1; i <= count; i++) {
 		quarantine.note(run(digest, i, team));
 	}
 }
 
-test('two ended targets make a request suspected, a third one quarantined; the same run told again does not count', () => {
+test('a request is suspected after two lost runs and quarantined after three; a run reported again is not counted', () => {
 	const quarantine = new RequestQuarantine();
 	assert.equal(quarantine.note(run('d', 1)), false);
 	assert.equal(quarantine.note(run('d', 1)), false);
@@ -41,32 +41,40 @@
 	assert.equal(quarantine.phase('d'), QuarantinePhase.Clear);
 });
 
-test('targets that end together count once, also where words of them come in any order', () => {
+test('targets that terminate together count once, in whichever order they are reported', () => {
 	const order = new LossOrder();
-	assert.equal(order.admits(toldRun(1, 0, 1000), 0), true);
-	assert.equal(order.admits(toldRun(2, 900, 1000), 0), false);
-	assert.equal(order.admits(toldRun(3, 1100, 1600), 0), false, 'sent when its sender may not have seen the first end');
-	assert.equal(order.admits(toldRun(4, 1500, 1900), 0), true);
-	assert.equal(order.admits(toldRun(4, 1500, 1900), 0), true, 'the same again');
+	assert.equal(order.admits(reportedRun(1, 0, 1000), 0), true);
+	assert.equal(order.admits(reportedRun(2, 900, 1000), 0), false);
+	assert.equal(
+		order.admits(reportedRun(3, 1100, 1600), 0),
+		false,
+		'sent when its sender may not have noticed the first loss'
+	);
+	assert.equal(order.admits(reportedRun(4, 1500, 1900), 0), true);
+	assert.equal(order.admits(reportedRun(4, 1500, 1900), 0), true, 'reported again');
 });
 
-test('a run counts that was certainly sent after the one before: of the same try, or by who knew of the suspicion', () => {
+test('a run counts if it was certainly sent after the previous one: in the same attempt, or by an instance that knew of the suspicion', () => {
 	const order = new LossOrder();
-	assert.equal(order.admits(toldRun(1, 0, 1000), 0), true);
+	assert.equal(order.admits(reportedRun(1, 0, 1000), 0), true);
 	const again = { requestId: 'r-1', afterTargetId: 't-1' };
-	assert.equal(order.admits(toldRun(2, 1001, 1002, again), 0), false, 'two targets of one hall');
-	assert.equal(order.admits(toldRun(3, 1001, 1080, again), 0), true);
-	assert.equal(order.admits(toldRun(4, 1100, 1180, { wasSuspected: true }), 0), true);
+	assert.equal(
+		order.admits(reportedRun(2, 1001, 1002, again), 0),
+		false,
+		'two targets of one hall that terminate together'
+	);
+	assert.equal(order.admits(reportedRun(3, 1001, 1080, again), 0), true);
+	assert.equal(order.admits(reportedRun(4, 1100, 1180, { wasSuspected: true }), 0), true);
 });
 
-test('no team’s requests displace those of another, and what is quarantined stays longest', () => {
+test('requests of one team do not evict those of another, and quarantined requests outlast the others', () => {
 	const quarantine = new RequestQuarantine();
-	end(quarantine, 'quiet', 1, 'quiet');
-	end(quarantine, 'quiet-suspected', 2, 'quiet');
-	end(quarantine, 'quarantined', 3, 'loud');
+	recordRuns(quarantine, 'quiet', 1, 'quiet');
+	recordRuns(quarantine, 'quiet-suspected', 2, 'quiet');
+	recordRuns(quarantine, 'quarantined', 3, 'loud');
 	for (let i = 0; i < 3000; i++) {
-		end(quarantine, `one-${i}`, 1, 'loud');
-		end(quarantine, `two-${i}`, 2, 'loud');
+		recordRuns(quarantine, `one-${i}`, 1, 'loud');
+		recordRuns(quarantine, `two-${i}`, 2, 'loud');
 	}
 	assert.ok(quarantine.save().length <= 1024 + 128 + 128);
 	assert.notEqual(quarantine.record('quiet'), undefined);
@@ -74,7 +82,7 @@
 	assert.equal(quarantine.phase('quarantined'), QuarantinePhase.Quarantined);
 });
 
-test('a state that is saved and restored knows the same requests, and counts on', () => {
+test('a restored state has the same requests and keeps counting', () => {
 	const state = new QuarantineState();
 	state.apply({ type: 'noteRuns', runs: [run('a', 1), run('b', 1), run('b', 2)] });
 	const restored = new QuarantineState();
@@ -91,7 +99,7 @@
 	assert.equal(restored.known.revision, 2);
 });
 
-test('an entry instance believes the latest revision, and says what is no longer known', () => {
+test('an entry instance keeps the latest revision and reports cleared requests', () => {
 	const known = new KnownQuarantine();
 	const cleared: string[] = [];
 	known.onDidClear(digest => cleared.push(digest));
