--- a/src/plugins/fleet/fleet.control.plugin.ts
+++ b/src/plugins/fleet/fleet.control.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the fleet's control side. */
+/** Registers the fleet service of control instances. */
 
 import {
 	ContributionPhase,
@@ -17,7 +17,7 @@
 
 pluginRegistry.registerSingleton(IFleetControl, FleetControlTask);
 
-/** Starts the exchange among control instances. */
+/** Starts the periodic exchange between control instances. */
 class FleetControlContribution implements IContribution {
 	constructor(@IFleetControl private readonly _fleet: FleetControlTask) {}
 
--- a/src/plugins/fleet/fleet.entry.plugin.ts
+++ b/src/plugins/fleet/fleet.entry.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the fleet's entry side. */
+/** Registers the fleet session of entry instances. */
 
 import {
 	ContributionPhase,
@@ -15,7 +15,7 @@
 
 pluginRegistry.registerSingleton(IFleetSession, FleetSessionTask);
 
-/** Starts the session with control. */
+/** Starts the session with the control instances. */
 class FleetEntryContribution implements IContribution {
 	constructor(@IFleetSession private readonly _session: FleetSessionTask) {}
 
--- a/src/plugins/fleet/node/entryRosterFile.ts
+++ b/src/plugins/fleet/node/entryListFile.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The entry instances that a control instance knew, kept in a file: after a stop of everything it can name them before
- * they have spoken to it again. What it hears after its start goes before what stands in the file.
+ * Persists the entry instances known to a control instance, so that after a complete outage it can answer look-ups before they
+ * have contacted it again. Information received after the start takes precedence over the file.
  */
 
 import { readFile } from 'node:fs/promises';
@@ -16,10 +16,9 @@
 import type { EntryDescription } from '../common/fleetTypes.js';
 
 const FILE_NAME = 'entries.json';
-/** The file is written no more often than this; what it holds changes with each start and stop of an entry instance. */
-const LEAST_PAUSE_MS = 1000;
+const MIN_WRITE_INTERVAL_MS = 1000;
 
-const rosterSchema = z.array(
+const entryListSchema = z.array(
 	z.object({
 		name: z.string(),
 		incarnation: z.string(),
@@ -34,48 +33,48 @@
 	})
 );
 
-/** The file with the entry instances that take callers. */
-export class EntryRosterFile {
-	private _written = '';
-	private _writtenAt: Millis = Number.NEGATIVE_INFINITY;
+/** The file with the ready entry instances. */
+export class EntryListFile {
+	private _writtenDigest = '';
+	private _lastWriteAt: Millis = Number.NEGATIVE_INFINITY;
 	private _isWriting = false;
 
-	/** @param folder the data folder; it is there once the replicated log has been opened */
+	/** @param folder the data folder; exists once the replicated log has been opened */
 	constructor(
 		private readonly _folder: string,
 		private readonly _log: ILogService
 	) {}
 
-	/** The instances of the file; none where there is no file, or no readable one. */
+	/** Reads the saved instances; returns an empty list if the file is missing or invalid. */
 	async read(): Promise<EntryDescription[]> {
 		try {
-			return rosterSchema.parse(JSON.parse(await readFile(join(this._folder, FILE_NAME), 'utf8')));
+			return entryListSchema.parse(JSON.parse(await readFile(join(this._folder, FILE_NAME), 'utf8')));
 		} catch (error) {
 			if ((error as NodeJS.ErrnoException).code !== 'ENOENT') {
-				this._log.warn('roster not read', { task: 'fleet', error: (error as Error).message });
+				this._log.warn('cannot read saved entry instances', { task: 'fleet', error: (error as Error).message });
 			}
 			return [];
 		}
 	}
 
 	/**
-	 * Writes the instances down if they are others than before, synced: without the file a control instance that is back from
-	 * a loss of power knows only those that have spoken to it.
+	 * Saves the instances if their names or caller addresses have changed. The write is synced to disk, so that it survives a
+	 * power failure. Skipped while another write is in progress or within the minimum interval.
 	 */
 	async write(entries: readonly EntryDescription[]): Promise<void> {
 		const now = systemClock.now();
 		const names = entries.map(entry => `${entry.name} ${entry.callerAddress}`).sort();
 		const digest = names.join();
-		if (this._isWriting || digest === this._written || now - this._writtenAt < LEAST_PAUSE_MS) {
+		if (this._isWriting || digest === this._writtenDigest || now - this._lastWriteAt < MIN_WRITE_INTERVAL_MS) {
 			return;
 		}
 		this._isWriting = true;
-		this._writtenAt = now;
+		this._lastWriteAt = now;
 		try {
 			await replaceFile(this._folder, FILE_NAME, JSON.stringify(entries));
-			this._written = digest;
+			this._writtenDigest = digest;
 		} catch (error) {
-			this._log.warn('roster not written', { task: 'fleet', error: (error as Error).message });
+			this._log.warn('cannot save entry instances', { task: 'fleet', error: (error as Error).message });
 		} finally {
 			this._isWriting = false;
 		}
--- a/src/plugins/fleet/node/fleetSessionTask.ts
+++ b/src/plugins/fleet/node/fleetSessionTask.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Keeps an entry instance up to date: asks one control instance at a time for what changed, waits there for news, and
- * goes on to another when it is silent, fails or is cut off from its own leader.
+ * Keeps the fleet view of an entry instance up to date by long-polling one control instance at a time. Switches to another one
+ * when it does not respond, fails, or has lost contact with its own leader.
  */
 
 import { randomUUID } from 'node:crypto';
@@ -34,38 +34,38 @@
 import { RunReporter } from './runReporter.js';
 import type { PlaceSettings } from '../common/placeSettings.js';
 
-/** How long control may hold an answer back while nothing changes. */
-const WAIT_MS = 500;
-/** Without an answer this long after it was due, another control instance is asked too. */
-const ANSWER_MARGIN_MS = 600;
-/** An answer that is late counts all the same: on a crowded link every one may be late. */
-const LATE_ANSWER_MS = 4000;
+/** How long a control instance may hold the response while nothing changes. */
+const LONG_POLL_MS = 500;
+/** If the response is overdue by this much, another control instance is called as well. */
+const RESPONSE_MARGIN_MS = 600;
+/** Late responses are still accepted up to this long after they are due: on a congested link every one may be late. */
+const LATE_RESPONSE_MARGIN_MS = 4000;
 const RETRY_PAUSE_MS = 60;
-/** Limits that change within this time go in one call. */
-const GATHER_MS = 50;
-/** Most limits that one call tells of; the others follow with the next ones. */
-const MOST_LIMITS = 64;
-/** An answer from a control instance that was out of touch with its leader for this long does not count. */
-const STALE_MS = 1200;
+/** Limit changes within this time are sent in one call. */
+const BATCH_WINDOW_MS = 50;
+/** Maximum number of limits in one call; the others follow in later calls. */
+const MAX_LIMITS_PER_CALL = 64;
+/** Responses from a control instance without leader contact for this long are not considered current. */
+const MAX_CONTACT_AGE_MS = 1200;
 
-/** The session of this entry instance with control. */
+/** The session of this entry instance with the control instances. */
 export class FleetSessionTask extends Disposable implements IFleetSession {
 	readonly view: FleetView;
 	private readonly _instance: InstanceSettings;
 	private readonly _incarnation = randomUUID();
 	private readonly _callerAddress: string;
-	private readonly _order: ControlOrder;
-	private readonly _reporter: RunReporter;
-	/** The control instances, as one of them named them last. */
+	private readonly _controlSelector: ControlOrder;
+	private readonly _runReporter: RunReporter;
+	/** The control instances, according to the latest response. */
 	private _controls: readonly ControlAddress[] = [];
 	private _sequence = 0;
 	private _isReady = false;
 	private _demand: Readonly<Record<string, number>> = {};
-	private _needs = new Map<string, number>();
+	private _offeredLoad = new Map<string, number>();
 	private _limits: readonly ToldLimit[] = [];
-	private _isHurrying = false;
-	private readonly _age = new ViewAge();
-	private _isInTouch = false;
+	private _isLimitSyncScheduled = false;
+	private readonly _viewAge = new ViewAge();
+	private _isConnected = false;
 	private _isStopped = false;
 
 	constructor(
@@ -78,23 +78,23 @@
 		this._callerAddress = _settings.section<{ callerAddress: string }>('front').callerAddress;
 		const { halls } = _settings.section<PlaceSettings>('places');
 		this.view = new FleetView(hall => halls.get(hall));
-		this._order = new ControlOrder(this._instance, hall => halls.get(hall));
-		this._reporter = new RunReporter(this._calls, () => this.controlAddresses(), this._log);
-		this._register(toDisposable(() => this._reporter.stop()));
+		this._controlSelector = new ControlOrder(this._instance, hall => halls.get(hall));
+		this._runReporter = new RunReporter(this._calls, () => this.controlAddresses(), this._log);
+		this._register(toDisposable(() => this._runReporter.stop()));
 		this._register(toDisposable(() => (this._isStopped = true)));
 	}
 
-	/** Begins to ask. */
+	/** Starts the sync loop. */
 	start(): void {
-		void this._run();
+		void this._syncLoop();
 	}
 
 	controlAddresses(): readonly string[] {
-		return this._order.inOrder(systemClock.now());
+		return this._controlSelector.inOrder(systemClock.now());
 	}
 
 	ageMs(): Millis {
-		return this._age.ageMs();
+		return this._viewAge.ageMs();
 	}
 
 	setReady(isReady: boolean): void {
@@ -102,28 +102,28 @@
 			return;
 		}
 		this._isReady = isReady;
-		if (this._order.settledOn !== undefined) {
-			this._ask(this._order.settledOn, 0).catch(() => undefined);
+		if (this._controlSelector.settledOn !== undefined) {
+			this._sync(this._controlSelector.settledOn, 0).catch(() => undefined);
 		}
 	}
 
 	reportRun(run: SeenRun): void {
-		this._reporter.noteRun(run);
+		this._runReporter.reportRun(run);
 	}
 
 	reportAnswer(digest: string): void {
-		this._reporter.noteAnswer(digest);
+		this._runReporter.reportAnswer(digest);
 	}
 
 	tellLimits(limits: readonly ToldLimit[], hasNews: boolean): void {
-		this._limits = limits.slice(0, MOST_LIMITS);
-		if (hasNews && !this._isHurrying && this._order.settledOn !== undefined) {
-			this._isHurrying = true;
-			const address = this._order.settledOn;
+		this._limits = limits.slice(0, MAX_LIMITS_PER_CALL);
+		if (hasNews && !this._isLimitSyncScheduled && this._controlSelector.settledOn !== undefined) {
+			this._isLimitSyncScheduled = true;
+			const address = this._controlSelector.settledOn;
 			setTimeout(() => {
-				this._isHurrying = false;
-				this._ask(address, 0).catch(() => undefined);
-			}, GATHER_MS);
+				this._isLimitSyncScheduled = false;
+				this._sync(address, 0).catch(() => undefined);
+			}, BATCH_WINDOW_MS);
 		}
 	}
 
@@ -133,72 +133,75 @@
 
 	addNeeds(needs: WorkByTarget): void {
 		for (const [id, work] of Object.entries(needs)) {
-			this._needs.set(id, (this._needs.get(id) ?? 0) + work);
+			this._offeredLoad.set(id, (this._offeredLoad.get(id) ?? 0) + work);
 		}
 	}
 
-	/** Needs that were sent are forgotten, also where the call is lost: they are averages of what is asked for right now. */
-	private _takeNeeds(): WorkByTarget {
-		const needs = Object.fromEntries([...this._needs].map(([id, work]) => [id, Math.round(work * 100) / 100]));
-		this._needs = new Map();
-		return needs;
+	/** Returns and resets the accumulated load. Load of a failed call is not sent again, since control only averages the recent load. */
+	private _takeOfferedLoad(): WorkByTarget {
+		const load = Object.fromEntries([...this._offeredLoad].map(([id, work]) => [id, Math.round(work * 100) / 100]));
+		this._offeredLoad = new Map();
+		return load;
 	}
 
-	private async _run(): Promise<void> {
+	private async _syncLoop(): Promise<void> {
 		while (!this._isStopped) {
 			const now = systemClock.now();
-			if (this._order.settledOn === undefined) {
-				this._learnControls();
+			if (this._controlSelector.settledOn === undefined) {
+				this._updateControls();
 			}
-			const address = this._order.next(now);
-			const nearer = this._order.takeNearer(now);
+			const address = this._controlSelector.next(now);
+			const nearer = this._controlSelector.takeNearer(now);
 			if (nearer !== undefined) {
-				void this._askAndFollow(nearer, 0);
+				void this._syncAndSelect(nearer, 0);
 			}
 			if (address !== undefined) {
-				await this._askInTime(address);
+				await this._syncWithTimeout(address);
 			}
-			if (this._order.settledOn === undefined) {
+			if (this._controlSelector.settledOn === undefined) {
 				await pause(RETRY_PAUSE_MS);
 			}
 		}
 	}
 
-	private async _askInTime(address: string): Promise<void> {
-		// An instance that does not know how old its view is does not wait for news, but asks for what is current.
-		const isWaiting = this._order.settledOn !== undefined && Number.isFinite(this.ageMs());
-		const waitMs = isWaiting ? WAIT_MS : 0;
-		const answered = this._askAndFollow(address, waitMs);
-		const isInTime = await Promise.race([answered, pause(waitMs + ANSWER_MARGIN_MS)]);
-		if (!isInTime) {
-			this._noticeFailure(address);
+	private async _syncWithTimeout(address: string): Promise<void> {
+		// Without a known age of the view, requests the current state at once instead of waiting for a change.
+		const isWaiting = this._controlSelector.settledOn !== undefined && Number.isFinite(this.ageMs());
+		const waitMs = isWaiting ? LONG_POLL_MS : 0;
+		const answered = this._syncAndSelect(address, waitMs);
+		const hasAnswered = await Promise.race([answered, pause(waitMs + RESPONSE_MARGIN_MS)]);
+		if (!hasAnswered) {
+			this._recordConnectionLoss(address);
 		}
 	}
 
-	/** Asks a control instance and goes on with it if its answer is current; true where an answer came, late or not. */
-	private async _askAndFollow(address: string, waitMs: Millis): Promise<boolean> {
+	/**
+	 * Syncs with a control instance and records whether its response is current.
+	 * @returns whether it responded, late or not
+	 */
+	private async _syncAndSelect(address: string, waitMs: Millis): Promise<boolean> {
 		try {
-			const isCurrent = await this._ask(address, waitMs);
+			const isCurrent = await this._sync(address, waitMs);
 			if (isCurrent) {
-				this._order.noteCurrent(address);
+				this._controlSelector.noteCurrent(address);
 			} else {
-				this._order.noteFailure(address, systemClock.now());
+				this._controlSelector.noteFailure(address, systemClock.now());
 			}
 			return true;
 		} catch {
-			this._order.noteFailure(address, systemClock.now());
+			this._controlSelector.noteFailure(address, systemClock.now());
 			return false;
 		}
 	}
 
-	/** The seeds, as the settings have them now, stay in the order: they may be all that is left of the control instances. */
-	private _learnControls(): void {
+	/** Always includes the configured seeds, since the control instances learned before may all be gone. */
+	private _updateControls(): void {
 		const discovery = this._settings.section<DiscoverySettings>('discovery');
-		this._order.learn(this._controls, seedPeerAddresses(discovery, this._instance.peerAddress));
+		this._controlSelector.learn(this._controls, seedPeerAddresses(discovery, this._instance.peerAddress));
 	}
 
-	/** @returns whether the answer is current */
-	private async _ask(address: string, waitMs: Millis): Promise<boolean> {
+	/** @returns whether the response is current */
+	private async _sync(address: string, waitMs: Millis): Promise<boolean> {
 		const request: SyncRequest = {
 			entry: {
 				name: this._instance.name,
@@ -212,34 +215,34 @@
 				revision: this.view.revision,
 				demand: this._demand
 			},
-			needs: this._takeNeeds(),
+			needs: this._takeOfferedLoad(),
 			limits: this._limits,
 			quarantineRevision: this.view.quarantine.revision,
 			waitMs
 		};
-		const asked = this._age.ask();
-		const response = await this._calls.call(address, syncMethod, request, waitMs + LATE_ANSWER_MS);
-		this._take(address, response);
-		const isCurrent = response.contactAgeMs < STALE_MS;
+		const requestTimestamp = this._viewAge.ask();
+		const response = await this._calls.call(address, syncMethod, request, waitMs + LATE_RESPONSE_MARGIN_MS);
+		this._applyResponse(address, response);
+		const isCurrent = response.contactAgeMs < MAX_CONTACT_AGE_MS;
 		if (isCurrent) {
-			this._age.noteCurrent(asked, waitMs, response.contactAgeMs);
-			this._noticeTouch(address);
+			this._viewAge.noteCurrent(requestTimestamp, waitMs, response.contactAgeMs);
+			this._recordConnection(address);
 		}
 		return isCurrent;
 	}
 
-	private _take(address: string, response: SyncResponse): void {
+	private _applyResponse(address: string, response: SyncResponse): void {
 		const now = systemClock.now();
-		const before = this.view.revision;
-		const contradicted = [...this.view.contradictedRegions].join(',');
+		const revisionBefore = this.view.revision;
+		const contradictedBefore = [...this.view.contradictedRegions].join(',');
 		this.view.apply(response, now);
-		this._noteContradiction(address, response, contradicted);
+		this._logContradiction(address, response, contradictedBefore);
 		if (response.controls.length > 0) {
 			this._controls = response.controls;
-			this._learnControls();
+			this._updateControls();
 		}
-		if (this.view.revision !== before) {
-			this._log.info('fleet changed', {
+		if (this.view.revision !== revisionBefore) {
+			this._log.info('fleet state updated', {
 				task: 'fleet',
 				revision: this.view.revision,
 				tableVersion: this.view.routes?.table.version
@@ -247,18 +250,18 @@
 		}
 	}
 
-	private _noticeTouch(address: string): void {
-		if (!this._isInTouch) {
-			this._isInTouch = true;
-			this._log.info('in touch with control', { task: 'fleet', control: address });
+	private _recordConnection(address: string): void {
+		if (!this._isConnected) {
+			this._isConnected = true;
+			this._log.info('connected to control', { task: 'fleet', control: address });
 		}
 	}
 
-	/** Logs when control's word on silent targets begins, or ceases, to be contradicted by the requests of this instance. */
-	private _noteContradiction(control: string, response: SyncResponse, before: string): void {
+	/** Logs when the regions change in which targets reported as silent still respond to this instance. */
+	private _logContradiction(control: string, response: SyncResponse, before: string): void {
 		const regions = [...this.view.contradictedRegions];
 		if (regions.join(',') !== before) {
-			this._log.warn('silence contradicted', {
+			this._log.warn('regions with wrongly reported silent targets changed', {
 				task: 'fleet',
 				control,
 				regions,
@@ -268,11 +271,15 @@
 		}
 	}
 
-	private _noticeFailure(address: string): void {
-		this._order.noteFailure(address, systemClock.now());
-		if (this._isInTouch) {
-			this._isInTouch = false;
-			this._log.warn('control lost', { task: 'fleet', control: address, viewAgeMs: Math.round(this.ageMs()) });
+	private _recordConnectionLoss(address: string): void {
+		this._controlSelector.noteFailure(address, systemClock.now());
+		if (this._isConnected) {
+			this._isConnected = false;
+			this._log.warn('connection to control lost', {
+				task: 'fleet',
+				control: address,
+				viewAgeMs: Math.round(this.ageMs())
+			});
 		}
 	}
 }
--- a/src/plugins/fleet/node/quarantineKeeper.ts
+++ b/src/plugins/fleet/node/quarantineManager.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Takes in what entry instances tell of requests that end targets; the leader counts it in the replicated log. */
+/** Handles reports of lost runs from entry instances; the leader commits them to the replicated log. */
 
 import { systemClock } from '../../../base/clock.js';
 import type { IPeerCalls } from '../../../kernel/common/peerCalls.js';
@@ -23,10 +23,10 @@
 
 const LEADER_CALL_TIMEOUT_MS = 500;
 
-/** The quarantine at a control instance. */
-export class QuarantineKeeper {
-	private readonly _losses = new LossOrder();
-	private _logged: ReadonlyMap<string, QuarantinePhase> = new Map();
+/** Manages quarantined requests at a control instance. */
+export class QuarantineManager {
+	private readonly _lossFilter = new LossOrder();
+	private _loggedPhases: ReadonlyMap<string, QuarantinePhase> = new Map();
 
 	constructor(
 		private readonly _calls: IPeerCalls,
@@ -35,40 +35,41 @@
 		private readonly _log: ILogService
 	) {
 		_calls.handleUnary(reportRunsMethod, async ({ report, isForwarded }) => {
-			await this._take(report, isForwarded);
+			await this._handleReport(report, isForwarded);
 			return { received: true as const };
 		});
 		_state.onDidChange(known => this._logChanges(known));
 	}
 
 	/**
-	 * Lets a request in again; false where nothing was known of it.
-	 * @throws FleetUnavailableError the leader could not be asked
+	 * Releases a request from suspicion or quarantine.
+	 * @returns whether it was suspected or quarantined
+	 * @throws FleetUnavailableError there is no leader, or it could not commit; errors of the call to the leader are passed on
 	 */
 	async release(digest: string): Promise<boolean> {
 		const isKnown = this._state.known.records.some(record => record.digest === digest);
-		await this._take({ endedRuns: [], answered: [digest] }, false);
+		await this._handleReport({ endedRuns: [], answered: [digest] }, false);
 		this._log.warn('request released', { task: 'fleet', digest, isKnown });
 		return isKnown;
 	}
 
 	/**
-	 * Counts a report here if this instance leads, or hands it to the leader; resolves when it is in the replicated log.
-	 * @throws FleetUnavailableError the leader could not be asked
+	 * Commits a report if this instance is the leader, otherwise forwards it once; resolves when it is in the replicated log.
+	 * @throws FleetUnavailableError there is no leader, or it could not commit; errors of the call to the leader are passed on
 	 */
-	private async _take(report: RunReport, isForwarded: boolean): Promise<void> {
+	private async _handleReport(report: RunReport, isForwarded: boolean): Promise<void> {
 		if (this._agreement.hasLease()) {
-			await this._count(report);
+			await this._commitReport(report);
 		} else if (isForwarded) {
-			throw new FleetUnavailableError('the instance that was asked does not lead');
+			throw new FleetUnavailableError('the control instance called is not the leader');
 		} else {
-			await this._callLeader(report);
+			await this._forwardToLeader(report);
 		}
 	}
 
-	private async _count({ endedRuns, answered }: RunReport): Promise<void> {
+	private async _commitReport({ endedRuns, answered }: RunReport): Promise<void> {
 		const now = systemClock.now();
-		const runs = endedRuns.filter(run => this._losses.admits(run, now)).map(counted);
+		const runs = endedRuns.filter(run => this._lossFilter.admits(run, now)).map(toCountedRun);
 		if (runs.length > 0) {
 			await this._propose({ type: 'noteRuns', runs });
 		}
@@ -85,18 +86,18 @@
 		}
 	}
 
-	private async _callLeader(report: RunReport): Promise<void> {
+	private async _forwardToLeader(report: RunReport): Promise<void> {
 		const { leader, id, members } = this._agreement.status();
 		const address = members.find(member => member.id === leader)?.address;
 		if (leader === id || address === undefined) {
-			throw new FleetUnavailableError('there is no leader now');
+			throw new FleetUnavailableError('there is currently no leader');
 		}
 		await this._calls.call(address, reportRunsMethod, { report, isForwarded: true }, LEADER_CALL_TIMEOUT_MS);
 	}
 
 	private _logChanges({ records }: KnownRequests): void {
-		const before = this._logged;
-		this._logged = new Map(records.map(record => [record.digest, phaseOf(record)]));
+		const before = this._loggedPhases;
+		this._loggedPhases = new Map(records.map(record => [record.digest, phaseOf(record)]));
 		for (const record of records) {
 			const phase = phaseOf(record);
 			if (before.get(record.digest) !== phase) {
@@ -106,13 +107,13 @@
 			}
 		}
 		for (const digest of before.keys()) {
-			if (!this._logged.has(digest)) {
+			if (!this._loggedPhases.has(digest)) {
 				this._log.info('request no longer suspected', { task: 'fleet', digest });
 			}
 		}
 	}
 }
 
-function counted({ digest, pathHash, team, requestId, targetId }: ToldRun): CountedRun {
+function toCountedRun({ digest, pathHash, team, requestId, targetId }: ToldRun): CountedRun {
 	return { digest, pathHash, team, requestId, targetId };
 }
--- a/src/plugins/fleet/node/quarantinePages.ts
+++ b/src/plugins/fleet/node/quarantinePages.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The pages on which operators see the suspected and quarantined requests, and let one in again. */
+/** HTTP endpoints for operators to list suspected and quarantined requests, and to release one. */
 
 import { Disposable } from '../../../base/disposable.js';
 import { type HttpRequest, type HttpResponse, sendJson } from '../../../kernel/node/httpListener.js';
@@ -11,7 +11,7 @@
 import { type ListedRequest, PHASE_NAMES, QUARANTINE_PAGE } from '../common/quarantineApi.js';
 import { phaseOf } from '../common/quarantineTypes.js';
 
-/** Lists requests and lets them in again. */
+/** Serves the quarantine endpoints. */
 export class QuarantinePages extends Disposable {
 	constructor(
 		@IProcessPages pages: IProcessPages,
@@ -21,12 +21,12 @@
 		pages.add({
 			method: 'GET',
 			pattern: QUARANTINE_PAGE,
-			handler: (_request, response) => answering(response, () => this._list(response))
+			handler: (_request, response) => respondOrUnavailable(response, () => this._list(response))
 		});
 		pages.add({
 			method: 'DELETE',
 			pattern: `${QUARANTINE_PAGE}/:digest`,
-			handler: (request, response) => answering(response, () => this._release(request, response))
+			handler: (request, response) => respondOrUnavailable(response, () => this._release(request, response))
 		});
 	}
 
@@ -46,10 +46,10 @@
 	}
 }
 
-/** Answers 503 where this instance can't know, so that the operator asks another one. */
-async function answering(response: HttpResponse, answer: () => void | Promise<void>): Promise<void> {
+/** Responds with 503 if this instance is not up to date or cannot reach the leader, so that the client tries another one. */
+async function respondOrUnavailable(response: HttpResponse, handler: () => void | Promise<void>): Promise<void> {
 	try {
-		await answer();
+		await handler();
 	} catch (error) {
 		if (!(error instanceof FleetUnavailableError)) {
 			throw error;
--- a/src/plugins/fleet/node/runReporter.ts
+++ b/src/plugins/fleet/node/runReporter.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Tells control of runs that ended their target, and of answers to suspected requests, until a control instance has it. */
+/** Reports lost runs and answers to suspected requests, retrying until a control instance accepts them. */
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import type { IPeerCalls } from '../../../kernel/common/peerCalls.js';
@@ -10,76 +10,80 @@
 import { reportRunsMethod } from '../common/fleetWire.js';
 import { type RunReport, type SeenRun, told } from '../common/quarantineTypes.js';
 
-/** What comes within this time goes in one call: a target that ends takes all that it runs along. */
-const GATHER_MS = 30;
+/** Reports within this time are sent in one call; a terminating target loses all its runs at once. */
+const BATCH_WINDOW_MS = 30;
 const CALL_TIMEOUT_MS = 600;
-/** Pauses between calls: until each control instance was asked once, and after that. */
+/** Pause between calls until each control instance has been tried once. */
 const RETRY_PAUSE_MS = 100;
-const LATER_PAUSE_MS = 1000;
-/** Most runs and answers that wait for control; beyond that the oldest are dropped. */
-const MOST_WAITING = 256;
+/** Pause between calls after that. */
+const SLOW_RETRY_PAUSE_MS = 1000;
+/** Maximum number of pending runs, and of pending answers; the oldest are dropped beyond it. */
+const MAX_PENDING = 256;
 
-/** The words of this instance that control does not have yet. */
+/** Sends the lost runs and answers that the control instances have not yet accepted. */
 export class RunReporter {
-	private _runs: SeenRun[] = [];
-	private _answered: string[] = [];
+	private _pendingRuns: SeenRun[] = [];
+	private _pendingAnswers: string[] = [];
 	private _isSending = false;
 	private _isStopped = false;
 
-	/** @param _controls addresses of the control instances, the one to ask first at the beginning */
+	/** @param _controlAddresses addresses of the control instances in the order to try them */
 	constructor(
 		private readonly _calls: IPeerCalls,
-		private readonly _controls: () => readonly string[],
+		private readonly _controlAddresses: () => readonly string[],
 		private readonly _log: ILogService
 	) {}
 
-	/** Tells of a run that ended its target. */
-	noteRun(run: SeenRun): void {
-		this._runs.push(run);
-		this._begin();
+	/** Queues a lost run. */
+	reportRun(run: SeenRun): void {
+		this._pendingRuns.push(run);
+		this._startSending();
 	}
 
-	/** Tells that a suspected request was answered. */
-	noteAnswer(digest: string): void {
-		if (!this._answered.includes(digest)) {
-			this._answered.push(digest);
-			this._begin();
+	/** Queues the digest of a suspected request that a target answered. */
+	reportAnswer(digest: string): void {
+		if (!this._pendingAnswers.includes(digest)) {
+			this._pendingAnswers.push(digest);
+			this._startSending();
 		}
 	}
 
-	/** Tells no more. */
+	/** Stops sending; pending reports are discarded. */
 	stop(): void {
 		this._isStopped = true;
 	}
 
-	private _begin(): void {
-		this._runs = this._runs.slice(-MOST_WAITING);
-		this._answered = this._answered.slice(-MOST_WAITING);
+	private _startSending(): void {
+		this._pendingRuns = this._pendingRuns.slice(-MAX_PENDING);
+		this._pendingAnswers = this._pendingAnswers.slice(-MAX_PENDING);
 		if (!this._isSending) {
 			this._isSending = true;
-			void this._sendAll();
+			void this._sendPending();
 		}
 	}
 
-	private async _sendAll(): Promise<void> {
-		await pause(GATHER_MS);
-		for (let turn = 0; !this._isStopped && this._runs.length + this._answered.length > 0; turn++) {
-			const runs = this._runs;
-			const answered = this._answered;
-			if (await this._send(turn, runs, answered)) {
-				this._runs = this._runs.filter(run => !runs.includes(run));
-				this._answered = this._answered.filter(digest => !answered.includes(digest));
+	private async _sendPending(): Promise<void> {
+		await pause(BATCH_WINDOW_MS);
+		for (let attempt = 0; !this._isStopped && this._pendingRuns.length + this._pendingAnswers.length > 0; attempt++) {
+			const runs = this._pendingRuns;
+			const answered = this._pendingAnswers;
+			if (await this._send(attempt, runs, answered)) {
+				this._pendingRuns = this._pendingRuns.filter(run => !runs.includes(run));
+				this._pendingAnswers = this._pendingAnswers.filter(digest => !answered.includes(digest));
 			} else {
-				await pause(turn < this._controls().length ? RETRY_PAUSE_MS : LATER_PAUSE_MS);
+				await pause(attempt < this._controlAddresses().length ? RETRY_PAUSE_MS : SLOW_RETRY_PAUSE_MS);
 			}
 		}
 		this._isSending = false;
 	}
 
-	/** Asks the control instances in turn. */
-	private async _send(turn: number, runs: readonly SeenRun[], answered: readonly string[]): Promise<boolean> {
-		const controls = this._controls();
-		const address = controls[turn % Math.max(1, controls.length)];
+	/**
+	 * Sends a report to the control instance whose turn it is.
+	 * @returns whether it was accepted
+	 */
+	private async _send(attempt: number, runs: readonly SeenRun[], answered: readonly string[]): Promise<boolean> {
+		const controls = this._controlAddresses();
+		const address = controls[attempt % Math.max(1, controls.length)];
 		if (address === undefined) {
 			return false;
 		}
@@ -90,7 +94,7 @@
 			return true;
 		} catch (error) {
 			const reason = (error as Error).message;
-			this._log.warn('runs not reported', { task: 'fleet', address, runs: runs.length, reason });
+			this._log.warn('cannot report lost runs', { task: 'fleet', address, runs: runs.length, reason });
 			return false;
 		}
 	}
--- a/src/plugins/fleet/node/targetRegistrar.ts
+++ b/src/plugins/fleet/node/targetRegistrar.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Makes the words of targets into orders: they register, say that they leave, and go. */
+/** Turns heartbeats of targets into commands on the fleet state: registration, leaving, and removal. */
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import type { ILogService } from '../../../kernel/node/logService.js';
@@ -12,71 +12,78 @@
 import type { FleetState } from '../common/fleetState.js';
 import { type TargetChange, type TargetDescription, TargetPhase, type TargetRecord } from '../common/fleetTypes.js';
 import type { Sightings } from '../common/sightings.js';
-import type { FleetOrders } from './fleetOrders.js';
+import type { FleetCommandClient } from './fleetCommandClient.js';
 
-/** Which life of a target speaks, by what is known of it. */
-enum Life {
-	/** One that another target, or a later life, has replaced; or somebody who is not this target. */
-	Earlier,
-	Known,
+/** Incarnation of a target that a heartbeat comes from, compared with the registered one. */
+enum Incarnation {
+	/** Replaced by another target or a later incarnation, or not this target at all. */
+	Stale,
+	Current,
 	New
 }
 
-/** The targets that speak with this control instance. */
+/** Registers the targets that send heartbeats to this control instance. */
 export class TargetRegistrar {
-	private readonly _earlierLives = new EarlierLives();
+	private readonly _staleHeartbeatFilter = new EarlierLives();
 
-	/** @param _halls region by hall */
 	constructor(
 		private readonly _state: FleetState,
-		private readonly _sightings: Sightings,
-		private readonly _orders: FleetOrders,
-		private readonly _halls: ReadonlyMap<string, string>,
+		private readonly _liveness: Sightings,
+		private readonly _commands: FleetCommandClient,
+		private readonly _regionByHall: ReadonlyMap<string, string>,
 		private readonly _log: ILogService
 	) {}
 
-	/** Takes a heartbeat in; resolves when what it changed is in the replicated log. */
+	/** Handles a heartbeat; resolves when the change it causes, if any, is in the replicated log. */
 	async heartbeat(heartbeat: TargetHeartbeat): Promise<void> {
 		const { description, isLeaving, sequence, coldLeftMs } = heartbeat;
 		const { id, bornAt } = description;
 		const now = systemClock.now();
 		const known = this._state.target(id);
-		const life = this._lifeOf(description, known, now);
-		if (life === Life.Earlier || (life === Life.Known && known!.phase === TargetPhase.Gone)) {
+		const incarnation = this._classify(description, known, now);
+		if (
+			incarnation === Incarnation.Stale ||
+			(incarnation === Incarnation.Current && known!.phase === TargetPhase.Gone)
+		) {
 			return;
 		}
-		const isNewest = this._sightings.seeHeartbeat({ id, bornAt, sequence, coldLeftMs }, now);
+		const isNewest = this._liveness.seeHeartbeat({ id, bornAt, sequence, coldLeftMs }, now);
 		const phase = isLeaving ? TargetPhase.Leaving : TargetPhase.Serving;
-		const isNews = life === Life.New || (isLeaving && known!.phase === TargetPhase.Serving);
-		if (isNews && (isNewest || isLeaving)) {
-			await this._change({ id, bornAt, phase, ...(life === Life.New ? this._introduce(description) : {}) });
+		const isChange = incarnation === Incarnation.New || (isLeaving && known!.phase === TargetPhase.Serving);
+		if (isChange && (isNewest || isLeaving)) {
+			await this._submitChange({
+				id,
+				bornAt,
+				phase,
+				...(incarnation === Incarnation.New ? this._registrationOf(description) : {})
+			});
 		} else if (known?.phase === TargetPhase.Leaving) {
-			await this._orders.untilTargetInForce(known.changedAt);
+			await this._commands.waitUntilTargetChangeApplied(known.changedAt);
 		}
 	}
 
-	/** A target says that it is going; resolves when that is in the replicated log. */
+	/** Removes a target at its own request; resolves when that is in the replicated log. */
 	async remove(id: string): Promise<void> {
 		const known = this._state.target(id);
 		if (known?.phase === TargetPhase.Gone) {
-			await this._orders.untilTargetInForce(known.changedAt);
+			await this._commands.waitUntilTargetChangeApplied(known.changedAt);
 		} else {
-			await this._change({ id, phase: TargetPhase.Gone });
+			await this._submitChange({ id, phase: TargetPhase.Gone });
 		}
-		this._sightings.forgetTarget(id);
+		this._liveness.forgetTarget(id);
 	}
 
-	/** Which life of its target speaks; one that is passed over is logged. */
-	private _lifeOf(description: TargetDescription, known: TargetRecord | undefined, now: Millis): Life {
+	/** Determines which incarnation sent a heartbeat, and logs stale ones, which are ignored. */
+	private _classify(description: TargetDescription, known: TargetRecord | undefined, now: Millis): Incarnation {
 		const { id, bornAt, address, service } = description;
 		const isKnown = known?.bornAt === bornAt;
 		const holderId = this._state.holderOf(address);
-		const holder = holderId === undefined ? undefined : { id: holderId, heardAt: this._sightings.heardAt(holderId) };
-		const isOutlived = known !== undefined && bornAt < known.bornAt;
-		// A target keeps its service when it starts again: a word that names another one comes from somebody else.
+		const holder = holderId === undefined ? undefined : { id: holderId, heardAt: this._liveness.heardAt(holderId) };
+		const isSuperseded = known !== undefined && bornAt < known.bornAt;
+		// A target keeps its service across restarts, so a heartbeat for another service comes from a different target.
 		const isForeign = known !== undefined && service !== known.service && known.service !== '';
-		if (isOutlived || isForeign || this._earlierLives.isStale(id, isKnown, holder, now)) {
-			this._log.info('heartbeat passed over', {
+		if (isSuperseded || isForeign || this._staleHeartbeatFilter.isStale(id, isKnown, holder, now)) {
+			this._log.info('stale heartbeat ignored', {
 				task: 'fleet',
 				target: id,
 				bornAt,
@@ -84,21 +91,23 @@
 				service,
 				holder: holderId
 			});
-			return Life.Earlier;
+			return Incarnation.Stale;
 		}
-		return isKnown ? Life.Known : Life.New;
+		return isKnown ? Incarnation.Current : Incarnation.New;
 	}
 
-	private _introduce(description: TargetDescription): Pick<TargetChange, 'description' | 'pacedSenders'> {
-		const region = this._halls.get(description.hall) ?? '';
-		const entries = this._sightings.liveEntries(systemClock.now());
+	private _registrationOf(description: TargetDescription): Pick<TargetChange, 'description' | 'pacedSenders'> {
+		const region = this._regionByHall.get(description.hall) ?? '';
+		const entries = this._liveness.liveEntries(systemClock.now());
 		return { description, pacedSenders: drawPacedSenders(description.id, region, entries) };
 	}
 
-	private async _change(change: TargetChange): Promise<void> {
+	private async _submitChange(change: TargetChange): Promise<void> {
 		const command = { type: 'changeTargets', changes: [change] } as const;
-		// A target that is new need not be known everywhere before it is answered.
-		await (change.phase === TargetPhase.Serving ? this._orders.orderAtLeader(command) : this._orders.order(command));
+		// A registration is acknowledged without waiting until the entry instances apply it.
+		await (change.phase === TargetPhase.Serving
+			? this._commands.submitToLeader(command)
+			: this._commands.submit(command));
 		this._log.info('target changed', { task: 'fleet', target: change.id, phase: change.phase });
 	}
 }
--- a/src/plugins/fleet/test/pacedFleet.ts
+++ b/src/plugins/fleet/test/limitedTargetSimulation.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Instances, control and one target with a limit, for interleavings: calls are lost, instances are cut off from control, start anew, and
- * senders are replaced. Counts what all of them let through.
+ * Simulates entry instances, control and one target with a limit, in virtual time: calls are lost, instances are disconnected from
+ * control or restarted, and senders are replaced. Records the requests that all instances admit.
  */
 
 import type { Millis } from '../../../base/clock.js';
@@ -18,33 +18,33 @@
 import { describeEntry } from '../../../../test/fakes/describeEntry.js';
 import { TargetLimitTable } from '../../limits/common/targetLimitTable.js';
 
-/** Id of the target. */
+/** Id of the simulated target. */
 export const TARGET_ID = 't';
 
-interface Instance {
+interface SimulatedInstance {
 	readonly name: string;
 	view: FleetView;
 	limits: TargetLimitTable;
-	/** When it was last in touch with control. */
+	/** When it last synced with control. */
 	currentAt: Millis;
-	isCutOff: boolean;
+	isDisconnected: boolean;
 }
 
-/** The fleet; its time goes on by steps. */
-export class PacedFleet {
+/** The simulated fleet. Time advances only by {@link LimitedTargetSimulation.advance}. */
+export class LimitedTargetSimulation {
 	now: Millis = 100000;
-	/** When requests were let through, by whichever instance. */
+	/** Times of the requests admitted by any instance. */
 	readonly sentAt: Millis[] = [];
 	readonly state = new FleetState();
-	readonly sightings = new Sightings({ entrySilentMs: 2500, targetSilentMs: 4500 }, 0);
-	private readonly _instances: Instance[];
+	readonly liveness = new Sightings({ entrySilentMs: 2500, targetSilentMs: 4500 }, 0);
+	private readonly _instances: SimulatedInstance[];
 	private _sequence = 0;
 
 	constructor(instances: number, senders: readonly string[], perSecond: number) {
-		this._instances = Array.from({ length: instances }, (_, i) => this._start(`e-${i}`));
+		this._instances = Array.from({ length: instances }, (_, i) => this._startInstance(`e-${i}`));
 		const description = { id: TARGET_ID, bornAt: 7, service: 's', address: 'a:1', hall: 'h', version: 'v', slots: 9 };
-		const born = { id: TARGET_ID, bornAt: 7, phase: TargetPhase.Serving, description, pacedSenders: senders };
-		this.apply({ type: 'changeTargets', changes: [born] });
+		const registration = { id: TARGET_ID, bornAt: 7, phase: TargetPhase.Serving, description, pacedSenders: senders };
+		this.apply({ type: 'changeTargets', changes: [registration] });
 		this.apply({ type: 'paceTargets', changes: [{ id: TARGET_ID, bornAt: 7, limitPerSecond: perSecond }] });
 		this._syncAll();
 	}
@@ -57,47 +57,47 @@
 		this.state.apply(command);
 	}
 
-	/** Time goes on; instances that are not cut off hear of control. */
-	pass(spanMs: Millis): void {
+	/** Advances the time, and syncs the instances that are not disconnected. */
+	advance(spanMs: Millis): void {
 		this.now += spanMs;
 		this._syncAll();
 	}
 
-	setCutOff(index: number, isCutOff: boolean): void {
-		this._instances[index % this._instances.length]!.isCutOff = isCutOff;
+	setDisconnected(index: number, isDisconnected: boolean): void {
+		this._instances[index % this._instances.length]!.isDisconnected = isDisconnected;
 	}
 
 	restart(index: number): void {
 		const place = index % this._instances.length;
-		const { name, isCutOff } = this._instances[place]!;
-		this._instances[place] = { ...this._start(name), isCutOff };
+		const { name, isDisconnected } = this._instances[place]!;
+		this._instances[place] = { ...this._startInstance(name), isDisconnected };
 	}
 
 	/**
-	 * A request at an instance.
-	 * @param isLost whether the call for a permit, if there is one, is lost on its way back
-	 * @returns whether it was let through
+	 * Simulates a request at an instance.
+	 * @param isLost whether the response to the permit call, if one is made, is lost
+	 * @returns whether the request was admitted
 	 */
 	request(index: number, isLost: boolean): boolean {
 		const { limits, view } = this._instances[index % this._instances.length]!;
 		const record = view.target(TARGET_ID)?.record;
-		// Without the target's record an instance knows of no target at all.
+		// An instance without the record does not know the target.
 		if (!record || !limits.isOpen(record, true, this.now)) {
 			return false;
 		}
-		const isLet = limits.takeOwn(record, this.now) || this._borrow(limits, record, isLost);
-		if (isLet) {
+		const isAdmitted = limits.takeOwn(record, this.now) || this._borrowPermit(limits, record, isLost);
+		if (isAdmitted) {
 			this.sentAt.push(this.now);
 		}
-		return isLet;
+		return isAdmitted;
 	}
 
-	/** The most requests in any window. */
-	mostInWindow(windowMs: Millis): number {
+	/** The maximum number of requests admitted within any window. */
+	maxInWindow(windowMs: Millis): number {
 		return Math.max(0, ...this.sentAt.map((at, i) => this.sentAt.filter(other => other < at + windowMs).length - i));
 	}
 
-	private _borrow(limits: TargetLimitTable, record: TargetRecord, isLost: boolean): boolean {
+	private _borrowPermit(limits: TargetLimitTable, record: TargetRecord, isLost: boolean): boolean {
 		const lender = limits.lender(record, this.now);
 		const other = this._instances.find(({ name }) => name === lender?.name);
 		const answer = other?.limits.lend({ targetId: TARGET_ID, bornAt: record.bornAt }, this.now);
@@ -111,17 +111,17 @@
 		return answer.isGranted;
 	}
 
-	private _start(name: string): Instance {
+	private _startInstance(name: string): SimulatedInstance {
 		const view = new FleetView(() => 'r');
-		const instance = { name, view, currentAt: Number.NEGATIVE_INFINITY, isCutOff: false } as Instance;
+		const instance = { name, view, currentAt: Number.NEGATIVE_INFINITY, isDisconnected: false } as SimulatedInstance;
 		instance.limits = new TargetLimitTable(view, new PaceShare(name, () => this.now - instance.currentAt));
 		return instance;
 	}
 
 	private _syncAll(): void {
-		for (const instance of this._instances.filter(({ isCutOff }) => !isCutOff)) {
+		for (const instance of this._instances.filter(({ isDisconnected }) => !isDisconnected)) {
 			const entry = describeEntry({ name: instance.name, sequence: ++this._sequence, peerAddress: instance.name });
-			this.sightings.seeEntry(entry, this.now);
+			this.liveness.seeEntry(entry, this.now);
 			instance.view.apply(this._responseTo(instance.view), this.now);
 			instance.currentAt = this.now;
 		}
