--- a/src/plugins/fleet/node/fleetControlTask.ts
+++ b/src/plugins/fleet/node/fleetControlTask.ts
@@ -242,11 +242,11 @@
 		this._updateCompleteness(now);
 		const hasHeardAll = this._completeness.hearingSince !== undefined;
 		const entries = this._liveness.liveEntries(now).filter(entry => entry.isReady);
-		const { known } = this._quarantine;
+		const { known: snapshot } = this._quarantine;
 		const regionalEntries = entries.filter(entry => entry.region === request.entry.region);
 		return {
 			changes: this._state.changesAfter(request.entry.revision),
-			quarantine: request.quarantineRevision < known.revision ? known : undefined,
+			quarantine: request.quarantineRevision < snapshot.revision ? snapshot : undefined,
 			controls: this._agreement.status().members.map(({ address, hall }) => ({ address, hall })),
 			contactAgeMs: this._agreement.contactAgeMs(),
 			hasHeardAll,
