--- a/src/plugins/forwarding/forwarding.plugin.ts
+++ b/src/plugins/forwarding/forwarding.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the carrying of requests. */
+/** Registers request forwarding and the listener for callers on entry instances. */
 
 import { ContributionPhase, pluginRegistry, ProcessKind } from '../../kernel/common/pluginRegistry.js';
 import { FrontListener } from './node/frontListener.js';
--- a/src/plugins/forwarding/node/attemptSender.ts
+++ b/src/plugins/forwarding/node/attemptSender.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Sends a request to a chosen target and notes what that says of the target, the service and the request. */
+/** Sends a request to a selected target and records the outcome for the target, the service and the request. */
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -25,114 +25,115 @@
 import type { RegionWatch } from './placement/regionWatch.js';
 import type { RestWatch } from './targets/restWatch.js';
 import { TargetAgent } from './targets/targetAgent.js';
-import { TargetExchange, type WithdrawCause } from './targetExchange.js';
+import { TargetExchange, type CancelCause } from './targetExchange.js';
 import { TargetHeaders } from './targetHeaders.js';
 
-/** Time for a connection to come up within a region and to another one, where the link is free. */
-const NEAR_CONNECT_MS = 250;
-const FAR_CONNECT_MS = 500;
+/** Connect timeouts on an idle link; time for bytes queued on the link is added. */
+const SAME_REGION_CONNECT_MS = 250;
+const CROSS_REGION_CONNECT_MS = 500;
 
-function withheld(cause: NotRunCause): AttemptOutcome {
+function notSent(cause: NotRunCause): AttemptOutcome {
 	return { type: 'not-run', hasArrived: false, cause };
 }
 
-/** What attempts need of the instance. */
-export interface AttemptContext {
+/** Settings and services that attempts use. */
+export interface AttemptSenderDependencies {
 	readonly region: string;
-	/** What the link of the instance carries, in Mbit/s. */
+	/** Bandwidth of the network link of this instance, in one direction. */
 	readonly linkMbit: number;
-	readonly names: IHeaderNames;
-	readonly notes: OutcomeNotes;
-	readonly watch: RegionWatch;
-	readonly largeAnswers: LargeAnswerGate;
+	readonly headerNames: IHeaderNames;
+	readonly outcomeTracker: OutcomeNotes;
+	readonly regionTrafficMonitor: RegionWatch;
+	readonly largeResponseLimiter: LargeAnswerGate;
 	readonly view: FleetView;
-	readonly lostRuns: LostRunWatch;
-	readonly rests: RestWatch;
+	readonly lostRunDetector: LostRunWatch;
+	readonly backoffMonitor: RestWatch;
 	readonly limits: ITargetLimits;
-	readonly limitWatch: LimitWatch;
+	readonly limitMonitor: LimitWatch;
 }
 
-/** The attempts of this instance and their connections. */
+/** Runs the attempts of this instance and owns the connections to targets. */
 export class AttemptSender extends Disposable {
 	private readonly _agent = new TargetAgent();
 	private readonly _headers: TargetHeaders;
-	/** The attempts that have no outcome yet, with the life of the target that they were sent to. */
-	private readonly _underWay = new Map<TargetExchange, TargetRecord>();
-	private readonly _heldBytes: number;
-	private readonly _nearConnectMs: Millis;
-	private readonly _farConnectMs: Millis;
+	/** Attempts without an outcome yet, with the target record (id and start time) that they were sent to. */
+	private readonly _inFlight = new Map<TargetExchange, TargetRecord>();
+	private readonly _maxBufferedBytes: number;
+	private readonly _sameRegionConnectMs: Millis;
+	private readonly _crossRegionConnectMs: Millis;
 
-	constructor(private readonly _context: AttemptContext) {
+	constructor(private readonly _dependencies: AttemptSenderDependencies) {
 		super();
-		const { linkMbit, names } = _context;
-		this._headers = new TargetHeaders(names);
-		this._heldBytes = heldBytes(linkMbit);
-		this._nearConnectMs = connectTimeoutMs(linkMbit, NEAR_CONNECT_MS);
-		this._farConnectMs = connectTimeoutMs(linkMbit, FAR_CONNECT_MS);
+		const { linkMbit, headerNames } = _dependencies;
+		this._headers = new TargetHeaders(headerNames);
+		this._maxBufferedBytes = heldBytes(linkMbit);
+		this._sameRegionConnectMs = connectTimeoutMs(linkMbit, SAME_REGION_CONNECT_MS);
+		this._crossRegionConnectMs = connectTimeoutMs(linkMbit, CROSS_REGION_CONNECT_MS);
 		this._register(toDisposable(() => this._agent.destroy()));
-		this._register(_context.view.onDidOutlive(earlier => this._loseAllAt(earlier)));
-		this._register(_context.limits.onDidChange(event => this._onLimitChange(event)));
+		this._register(_dependencies.view.onDidOutlive(earlier => this._failInFlightTo(earlier)));
+		this._register(_dependencies.limits.onDidChange(event => this._onLimitChange(event)));
 	}
 
 	/**
-	 * One attempt at one target; never rejects. Whoever chose it: nothing is sent to a target that wants nothing, and each request that may
-	 * be written to one with a limit has a permit within it.
+	 * Makes one attempt at one target; never rejects. Nothing is sent, and the outcome is `not-run`, where the target is in
+	 * backoff, has a rate limit and no permit is given, or has no connection left for this instance.
+	 * @param permit permit within the target's rate limit, given back when nothing was written; undefined for none
 	 */
-	async send(journey: Journey, candidate: ChosenTarget, permit: IPermit | undefined): Promise<AttemptOutcome> {
-		const { exchange } = journey;
+	async send(context: Journey, candidate: ChosenTarget, permit: IPermit | undefined): Promise<AttemptOutcome> {
+		const { exchange } = context;
 		const { known, state } = candidate;
 		const now = systemClock.now();
-		journey.tried.add(known.record.id);
-		const obstacle = this._obstacleTo(candidate, permit, now);
-		if (obstacle !== undefined) {
+		context.tried.add(known.record.id);
+		const blockingCause = this._blockingCause(candidate, permit, now);
+		if (blockingCause !== undefined) {
 			permit?.giveBack();
-			return withheld(obstacle);
+			return notSent(blockingCause);
 		}
-		this._context.rests.noteSend(known.record, state, now);
-		const sent = this._exchangeFor(journey, candidate, now);
+		this._dependencies.backoffMonitor.noteSend(known.record, state, now);
+		const targetExchange = this._startExchange(context, candidate, now);
 		state.inFlight++;
 		state.isUsed = true;
-		const timer = setTimeout(() => sent.abandon(), Math.max(0, journey.deadline - now));
-		exchange.whenLeft(() => sent.abandon());
-		const trace = traceOf(journey, candidate, now);
-		if (journey.attempts.length === 0) {
-			this._context.watch.noteFirstTry(candidate.firstRegion, known.region);
+		const timer = setTimeout(() => targetExchange.abandon(), Math.max(0, context.deadline - now));
+		exchange.setDisconnectHandler(() => targetExchange.abandon());
+		const trace = createTrace(context, candidate, now);
+		if (context.attempts.length === 0) {
+			this._dependencies.regionTrafficMonitor.noteFirstTry(candidate.firstRegion, known.region);
 		}
-		journey.attempts.push(trace);
-		this._underWay.set(sent, known.record);
-		const outcome = await sent.outcome;
-		this._underWay.delete(sent);
-		if (sent.writtenAt === undefined) {
+		context.attempts.push(trace);
+		this._inFlight.set(targetExchange, known.record);
+		const outcome = await targetExchange.outcome;
+		this._inFlight.delete(targetExchange);
+		if (targetExchange.writtenAt === undefined) {
 			permit?.giveBack();
 		}
 		const endedAt = systemClock.now();
 		trace.outcome = describeOutcome(outcome);
 		trace.tookMs = Math.round(endedAt - now);
-		exchange.whenLeft(undefined);
+		exchange.setDisconnectHandler(undefined);
 		clearTimeout(timer);
-		const { notes, lostRuns, rests, limitWatch } = this._context;
-		lostRuns.noteAttempt(journey, known.record, outcome, now);
-		const request = { chosenAt: now, writtenAt: sent.writtenAt, outcome };
-		rests.noteSent(known.record, state, request);
-		limitWatch.noteSent(known.record, request, journey.attempts[0] === trace);
-		notes.noteOutcome(journey, state, outcome, endedAt - now, endedAt);
+		const { outcomeTracker, lostRunDetector, backoffMonitor, limitMonitor } = this._dependencies;
+		lostRunDetector.recordAttempt(context, known.record, outcome, now);
+		const request = { chosenAt: now, writtenAt: targetExchange.writtenAt, outcome };
+		backoffMonitor.noteSent(known.record, state, request);
+		limitMonitor.noteSent(known.record, request, context.attempts[0] === trace);
+		outcomeTracker.noteOutcome(context, state, outcome, endedAt - now, endedAt);
 		if (outcome.type === 'answer') {
-			this._noteSize(journey.route, sent.answerHeaders?.['content-length']);
+			this._recordResponseSize(context.route, targetExchange.responseHeaders?.['content-length']);
 		}
 		state.inFlight--;
-		if (journey.team?.limit && mayHaveRun(outcome)) {
-			journey.hasLeave = false;
+		if (context.team?.limit && mayHaveRun(outcome)) {
+			context.hasTeamPermit = false;
 		}
 		return outcome;
 	}
 
-	/** Why nothing may be sent to a target now; undefined where it may. */
-	private _obstacleTo(
+	/** Why nothing may be sent to the target now; undefined where a request may be sent. */
+	private _blockingCause(
 		{ known, state }: ChosenTarget,
 		permit: IPermit | undefined,
 		now: Millis
 	): NotRunCause | undefined {
-		const { limits } = this._context;
+		const { limits } = this._dependencies;
 		if (state.rest.isAsked(now)) {
 			return NotRunCause.AtRest;
 		}
@@ -140,85 +141,88 @@
 			return NotRunCause.AtLimit;
 		}
 		const [host, port] = splitAddress(known.record.address);
-		const hasRoom = this._agent.hasRoom(host, port, this._mostConnections(known.record));
+		const hasRoom = this._agent.hasRoom(host, port, this._maxConnections(known.record));
 		return hasRoom ? undefined : NotRunCause.ConnectionsInUse;
 	}
 
-	/** This instance's part of the connections that a target accepts from all instances; a service in no table has no bound. */
-	private _mostConnections({ service }: TargetRecord): number {
-		const { view } = this._context;
-		const all = view.routes?.service(service)?.maxConnections;
-		return all === undefined ? Number.POSITIVE_INFINITY : Math.max(1, Math.floor(all / view.mostEntries));
+	/** This instance's share of the connections that a target accepts from all entry instances; unbounded for a service without configuration. */
+	private _maxConnections({ service }: TargetRecord): number {
+		const { view } = this._dependencies;
+		const maxConnections = view.routes?.service(service)?.maxConnections;
+		return maxConnections === undefined
+			? Number.POSITIVE_INFINITY
+			: Math.max(1, Math.floor(maxConnections / view.mostEntries));
 	}
 
-	/** A target spoke of itself in the head of an answer. */
-	private _hear({ known, state }: ChosenTarget, word: TargetWord, askedAt: Millis): void {
+	/** Applies what the target reported in response headers: load, backoff, shutdown and rate limit. */
+	private _applyTargetReport({ known, state }: ChosenTarget, report: TargetWord, askedAt: Millis): void {
 		const now = systemClock.now();
-		const { notes, rests } = this._context;
-		this._hearLimit(known.record, word, askedAt);
-		notes.noteLoad(state, word.load, now);
-		rests.noteWord(known.record, state, word, state.inFlight, now);
-		state.rest.hear(word, now);
+		const { outcomeTracker, backoffMonitor } = this._dependencies;
+		this._applyTargetLimit(known.record, report, askedAt);
+		outcomeTracker.noteLoad(state, report.load, now);
+		backoffMonitor.noteWord(known.record, state, report, state.inFlight, now);
+		state.rest.hear(report, now);
 		if (state.rest.isAsked(now)) {
-			this._withdrawFrom(known.record, NotRunCause.AtRest);
+			this._cancelUnwrittenTo(known.record, NotRunCause.AtRest);
 		}
 	}
 
-	private _hearLimit(record: TargetRecord, word: TargetWord, askedAt: Millis): void {
-		const { limitPerSecond: perSecond, hasEcho } = word;
+	private _applyTargetLimit(record: TargetRecord, report: TargetWord, askedAt: Millis): void {
+		const { limitPerSecond: perSecond, hasEcho } = report;
 		if (perSecond !== undefined || hasEcho) {
-			this._context.limits.hear(record, { perSecond, askedAt });
+			this._dependencies.limits.hear(record, { perSecond, askedAt });
 		}
 	}
 
-	/** What is under way when a limit is named has no permit within it. */
+	/** Requests already in flight when a target first names a limit hold no permit, so those not yet written are cancelled. */
 	private _onLimitChange({ record, change }: TargetLimitEvent): void {
 		if (change === LimitChange.Named) {
-			this._withdrawFrom(record, NotRunCause.AtLimit);
+			this._cancelUnwrittenTo(record, NotRunCause.AtLimit);
 		}
 	}
 
-	/** What has not been written to a target yet may still go elsewhere. */
-	private _withdrawFrom({ id, bornAt }: TargetRecord, cause: WithdrawCause): void {
-		for (const [sent, record] of this._underWay) {
+	/** Cancels the attempts at a target that are not written yet, so that they can go to another target. */
+	private _cancelUnwrittenTo({ id, bornAt }: TargetRecord, cause: CancelCause): void {
+		for (const [targetExchange, record] of this._inFlight) {
 			if (record.id === id && record.bornAt === bornAt) {
-				sent.withdraw(cause);
+				targetExchange.cancelIfUnwritten(cause);
 			}
 		}
 	}
 
-	/** What a target was running when it ended is lost; behind a cut nothing else says so. */
-	private _loseAllAt({ id, bornAt, address }: TargetRecord): void {
+	/** Fails the attempts at the previous process of a restarted target. Across a network partition their connections report no error. */
+	private _failInFlightTo({ id, bornAt, address }: TargetRecord): void {
 		this._agent.closeRestingTo(...splitAddress(address));
-		for (const [sent, record] of this._underWay) {
+		for (const [targetExchange, record] of this._inFlight) {
 			if (record.id === id && record.bornAt <= bornAt) {
-				sent.lose();
+				targetExchange.failOnTargetRestart();
 			}
 		}
 	}
 
-	private _exchangeFor(journey: Journey, candidate: ChosenTarget, now: Millis): TargetExchange {
-		const { exchange, body } = journey;
+	private _startExchange(context: Journey, candidate: ChosenTarget, now: Millis): TargetExchange {
+		const { exchange, body } = context;
 		const { known } = candidate;
 		const [host, port] = splitAddress(known.record.address);
-		return new TargetExchange(this._agent, this._context.names, {
+		return new TargetExchange(this._agent, this._dependencies.headerNames, {
 			requestId: exchange.requestId,
 			targetId: known.record.id,
 			host,
 			port,
 			method: exchange.request.method ?? 'GET',
 			path: exchange.path,
-			rawHeaders: this._headers.headersFor(journey, known.record.id, now),
+			rawHeaders: this._headers.headersFor(context, known.record.id, now),
 			body,
-			connectTimeoutMs: known.region === this._context.region ? this._nearConnectMs : this._farConnectMs,
-			heldBytes: this._heldBytes,
-			onWord: (word, writtenAt) => this._hear(candidate, word, writtenAt)
+			connectTimeoutMs:
+				known.region === this._dependencies.region ? this._sameRegionConnectMs : this._crossRegionConnectMs,
+			maxBufferedBytes: this._maxBufferedBytes,
+			onTargetReport: (report, writtenAt) => this._applyTargetReport(candidate, report, writtenAt)
 		});
 	}
 
-	private _noteSize(route: Route, length: string | undefined): void {
-		if (route.repeatRule === RepeatRule.LargeAnswer && length !== undefined) {
-			this._context.largeAnswers.noteSize(route, Number(length));
+	private _recordResponseSize(route: Route, contentLength: string | undefined): void {
+		if (route.repeatRule === RepeatRule.LargeAnswer && contentLength !== undefined) {
+			this._dependencies.largeResponseLimiter.noteSize(route, Number(contentLength));
 		}
 	}
 }
@@ -228,7 +232,7 @@
 	return [host, Number(port)];
 }
 
-function traceOf({ exchange }: Journey, candidate: ChosenTarget, now: Millis): AttemptTrace {
+function createTrace({ exchange }: Journey, candidate: ChosenTarget, now: Millis): AttemptTrace {
 	const { known, state, firstRegion, passedOver } = candidate;
 	return {
 		target: known.record.id,
--- a/src/plugins/forwarding/node/callerExchange.ts
+++ b/src/plugins/forwarding/node/callerExchange.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** One request of a caller: what it asks, when its time is over, and the answer that it gets. */
+/** The HTTP exchange with a caller: its request, how long it waits, and the response that it gets. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
@@ -16,35 +16,35 @@
 import { PacedBody } from './pacedBody.js';
 
 const VERDICT_HEADER = 'Shelffield-Verdict';
-const NOTHING_DROPPED: ReadonlySet<string> = new Set();
-const LENGTH_DROPPED: ReadonlySet<string> = new Set(['content-length']);
+const NO_HEADERS: ReadonlySet<string> = new Set();
+const CONTENT_LENGTH: ReadonlySet<string> = new Set(['content-length']);
 
-/** An answer of the system's own. */
-export interface OwnAnswer {
+/** A response made by this instance rather than by a target. */
+export interface LocalResponse {
 	readonly status: number;
 	readonly verdict: Verdict;
 	readonly reason: RefusalReason | 'no-route';
 	readonly retryAfterMs?: Millis;
 }
 
-/** A request of a caller and its answer. */
+/** One request of a caller and its response. */
 export class CallerExchange {
 	readonly arrivedAt = systemClock.now();
 	readonly requestId: string;
-	/** Milliseconds that the caller waits; infinite where it does not say. */
+	/** How long the caller waits from `arrivedAt`, by its request header; infinite where it names no time. */
 	readonly remainingMs: Millis;
 	readonly objectKey: string | undefined;
-	/** Digest of the key that the caller showed; undefined for none, or an empty one. */
+	/** Digest of the API key that the caller sent; undefined for a missing or empty one. */
 	readonly keyDigest: string | undefined;
-	private _onLeft: (() => void) | undefined;
-	private _hasLeft = false;
-	private _onClosed: (() => void) | undefined;
+	private _disconnectHandler: (() => void) | undefined;
+	private _isDisconnected = false;
+	private _closeHandler: (() => void) | undefined;
 
 	constructor(
 		readonly request: IncomingMessage,
 		private readonly _response: ServerResponse,
 		names: IHeaderNames,
-		private readonly _link: LinkScheduler
+		private readonly _linkScheduler: LinkScheduler
 	) {
 		const remaining = Number(request.headers[names.remainingMs] ?? Number.NaN);
 		this.requestId = String(request.headers[names.requestId] ?? '');
@@ -52,45 +52,45 @@
 		this.objectKey = cookieValue(request.rawHeaders, names.objectCookie);
 		const key = request.headers[names.teamKey];
 		this.keyDigest = typeof key === 'string' && key !== '' ? digestKey(key) : undefined;
-		_response.on('close', () => this._noticeClose());
+		_response.on('close', () => this._onResponseClose());
 	}
 
-	/** Host as the caller wrote it. */
+	/** The Host header as the caller sent it; empty for none. */
 	get host(): string {
 		return this.request.headers.host ?? '';
 	}
 
-	/** Path and query. */
+	/** Path and query string. */
 	get path(): string {
 		return this.request.url ?? '/';
 	}
 
-	/** Whether the caller closed its connection before it had the whole answer. */
+	/** Whether the connection closed before the caller had the whole response. */
 	get hasLeft(): boolean {
-		return this._hasLeft;
+		return this._isDisconnected;
 	}
 
-	/** Calls back when the caller leaves; one callback at a time. */
-	whenLeft(callback: (() => void) | undefined): void {
-		this._onLeft = callback;
-		if (this._hasLeft) {
+	/** Sets the callback for a caller that disconnects, called at once if it already has; replaces the previous one. */
+	setDisconnectHandler(callback: (() => void) | undefined): void {
+		this._disconnectHandler = callback;
+		if (this._isDisconnected) {
 			callback?.();
 		}
 	}
 
-	/** Calls back once the answer has been passed on, or the caller has left; one callback at most. */
-	whenClosed(callback: () => void): void {
-		this._onClosed = callback;
+	/** Sets the callback for the end of the exchange: the response is sent, or the caller disconnected; replaces the previous one. */
+	setCloseHandler(callback: () => void): void {
+		this._closeHandler = callback;
 	}
 
-	/** Gives the caller an answer of the system's own. */
-	refuse(answer: OwnAnswer): void {
-		if (this._hasLeft) {
+	/** Sends a response made by this instance; does nothing once the caller has disconnected. */
+	sendLocalResponse(response: LocalResponse): void {
+		if (this._isDisconnected) {
 			return;
 		}
-		const { verdict, reason, retryAfterMs } = answer;
+		const { verdict, reason, retryAfterMs } = response;
 		const body = JSON.stringify({ verdict, reason, retryAfterMs, requestId: this.requestId });
-		this._response.statusCode = answer.status;
+		this._response.statusCode = response.status;
 		this._response.setHeader('Content-Type', 'application/json');
 		this._response.setHeader(VERDICT_HEADER, verdict);
 		if (retryAfterMs !== undefined) {
@@ -100,64 +100,64 @@
 		this._response.end(body);
 	}
 
-	/** Passes a target's answer on. When it breaks off in the middle, so does the caller's connection. */
-	pass(answer: TargetAnswer): void {
-		if (this._hasLeft) {
-			answer.rest?.destroy();
+	/** Forwards a target's response. When it is truncated on the way, the caller's connection is closed. */
+	forwardResponse(response: TargetAnswer): void {
+		if (this._isDisconnected) {
+			response.rest?.destroy();
 			return;
 		}
-		this._writeHead(answer);
-		if (!answer.rest) {
-			this._response.end(answer.body);
+		this._writeHead(response);
+		if (!response.rest) {
+			this._response.end(response.body);
 			return;
 		}
-		this._stream(answer.body, answer.rest);
+		this._streamBody(response.body, response.rest);
 	}
 
-	/** Passes a large body on piece by piece. */
-	private _stream(beginning: Buffer, rest: Readable): void {
-		const paced = new PacedBody(this._link);
-		const breakOff = (): void => {
+	/** Streams a body that is not buffered whole, at the rate that the link scheduler allows. */
+	private _streamBody(prefix: Buffer, remainingBody: Readable): void {
+		const paced = new PacedBody(this._linkScheduler);
+		const abort = (): void => {
 			paced.destroy();
 			this._response.destroy();
 		};
-		this.whenLeft(() => {
-			rest.destroy();
+		this.setDisconnectHandler(() => {
+			remainingBody.destroy();
 			paced.destroy();
 		});
-		rest.on('error', breakOff);
-		rest.on('close', () => {
-			if (!rest.readableEnded) {
-				breakOff();
+		remainingBody.on('error', abort);
+		remainingBody.on('close', () => {
+			if (!remainingBody.readableEnded) {
+				abort();
 			}
 		});
-		paced.write(beginning);
-		rest.pipe(paced).pipe(this._response);
+		paced.write(prefix);
+		remainingBody.pipe(paced).pipe(this._response);
 	}
 
-	private _writeHead(answer: TargetAnswer): void {
-		const isHead = this.request.method === 'HEAD';
-		const isHeld = answer.rest === undefined && !answer.endsWithConnection && !isHead;
-		const headers = passedHeaders(answer.rawHeaders, isHeld ? LENGTH_DROPPED : NOTHING_DROPPED);
-		if (isHeld) {
-			headers.push('Content-Length', String(answer.body.length));
+	private _writeHead(response: TargetAnswer): void {
+		const isHeadRequest = this.request.method === 'HEAD';
+		const isBuffered = response.rest === undefined && !response.endsWithConnection && !isHeadRequest;
+		const headers = passedHeaders(response.rawHeaders, isBuffered ? CONTENT_LENGTH : NO_HEADERS);
+		if (isBuffered) {
+			headers.push('Content-Length', String(response.body.length));
 		}
-		if (answer.endsWithConnection) {
+		if (response.endsWithConnection) {
 			this._response.useChunkedEncodingByDefault = false;
 		}
-		if (answer.endsWithConnection || this._response.getHeader('connection') !== undefined) {
+		if (response.endsWithConnection || this._response.getHeader('connection') !== undefined) {
 			headers.push('Connection', 'close');
 		}
 		headers.push(VERDICT_HEADER, 'ran');
-		this._response.writeHead(answer.status, headers);
+		this._response.writeHead(response.status, headers);
 	}
 
-	private _noticeClose(): void {
-		this._onClosed?.();
+	private _onResponseClose(): void {
+		this._closeHandler?.();
 		if (this._response.writableFinished) {
 			return;
 		}
-		this._hasLeft = true;
-		this._onLeft?.();
+		this._isDisconnected = true;
+		this._disconnectHandler?.();
 	}
 }
--- a/src/plugins/forwarding/node/forwarding.ts
+++ b/src/plugins/forwarding/node/forwarding.ts
@@ -2,16 +2,16 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the listener for callers sees of the part that carries requests to targets. */
+/** Interface of the service that forwards callers' requests to targets, as used by the listener for callers. */
 
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { CallerExchange } from './callerExchange.js';
 
-/** Carries requests to targets. */
+/** Forwards requests to targets. */
 export interface IForwarding {
-	/** Serves one request; never rejects, and leaves the exchange with its final answer. */
+	/** Serves one request and completes the exchange with a final response; never rejects. */
 	serve(exchange: CallerExchange): Promise<void>;
 }
 
-/** Identifier of the part that carries requests. */
+/** Service identifier of {@link IForwarding}. */
 export const IForwarding = createServiceIdentifier<IForwarding>('forwarding');
--- a/src/plugins/forwarding/node/forwardingTask.ts
+++ b/src/plugins/forwarding/node/forwardingTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Carries the requests of callers to targets: chooses, sends, tries again where that is allowed, and answers. */
+/** Forwards callers' requests to targets: checks access and limits, selects a target, sends, retries where allowed, and responds. */
 
 import { systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -26,11 +26,18 @@
 import { chooseService } from '../common/placement/partChoice.js';
 import type { ChosenTarget } from '../common/placement/targetChoice.js';
 import { IServiceBounds } from '../common/serviceBounds.js';
-import type { CallerExchange, OwnAnswer } from './callerExchange.js';
+import type { CallerExchange, LocalResponse } from './callerExchange.js';
 import type { IForwarding } from './forwarding.js';
 import { AttemptSender } from './attemptSender.js';
-import { denial, endOf, type Journey, limitRefusal, quarantineRefusal, refusal } from './journey.js';
-import { FollowUp, RETRY_SOON_MS } from './followUp.js';
+import {
+	accessDeniedResponse,
+	requestEndOf,
+	type Journey,
+	teamLimitResponse,
+	quarantinedResponse,
+	unavailableResponse
+} from './journey.js';
+import { RetryPolicy, SHORT_RETRY_AFTER_MS } from './retryPolicy.js';
 import { LostRunWatch } from './lostRunWatch.js';
 import { LimitWatch } from './targets/limitWatch.js';
 import { OutcomeNotes } from './targets/outcomeNotes.js';
@@ -41,30 +48,30 @@
 import { RestWatch } from './targets/restWatch.js';
 import { TargetSelector } from './placement/targetSelector.js';
 
-/** With less time left nothing is sent any more. */
-const LEAST_TIME_MS = 20;
-const DEMAND_INTERVAL_MS = 250;
-const NO_CONFIGURATION_RETRY_MS = 500;
+/** No attempt is started with less time than this left before the deadline. */
+const MIN_REMAINING_MS = 20;
+const DEMAND_REPORT_INTERVAL_MS = 250;
+const NO_CONFIGURATION_RETRY_AFTER_MS = 500;
 
-/** An earlier attempt may have run: then nothing is certain any more. */
-const IN_DOUBT = { status: 502, verdict: 'may-have-run' } as const;
+/** Replaces status and verdict of a `not-run` response when an earlier attempt may have run. */
+const MAY_HAVE_RUN = { status: 502, verdict: 'may-have-run' } as const;
 
-/** The requests of this instance. */
+/** Forwards all callers' requests of this instance. */
 export class ForwardingTask extends Disposable implements IForwarding {
 	private readonly _recorder: RequestRecorder;
-	private readonly _notes = new OutcomeNotes();
+	private readonly _outcomeTracker = new OutcomeNotes();
 	private readonly _selector: TargetSelector;
-	private readonly _largeAnswers: LargeAnswerGate;
-	private readonly _sender: AttemptSender;
-	private readonly _quarantine: QuarantineGuard;
-	private readonly _followUp: FollowUp;
+	private readonly _largeResponseLimiter: LargeAnswerGate;
+	private readonly _attemptSender: AttemptSender;
+	private readonly _quarantineGuard: QuarantineGuard;
+	private readonly _retryPolicy: RetryPolicy;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IFleetSession private readonly _session: IFleetSession,
-		@IHeaderNames names: IHeaderNames,
-		@IServiceBounds private readonly _bounds: IServiceBounds,
-		@ITeamLimits private readonly _limits: ITeamLimits,
+		@IHeaderNames headerNames: IHeaderNames,
+		@IServiceBounds private readonly _serviceBounds: IServiceBounds,
+		@ITeamLimits private readonly _teamLimits: ITeamLimits,
 		@ITargetLimits private readonly _targetLimits: ITargetLimits,
 		@IMetricsService metrics: IMetricsService,
 		@ILogService log: ILogService
@@ -73,61 +80,63 @@
 		this._recorder = new RequestRecorder(metrics, log);
 		const instance = settings.section<InstanceSettings>('instance');
 		const { linkMbit } = settings.section<FrontSettings>('front');
-		this._largeAnswers = new LargeAnswerGate(linkMbit);
+		this._largeResponseLimiter = new LargeAnswerGate(linkMbit);
 		const regions = [...new Set(settings.section<PlaceSettings>('places').halls.values())];
 		const share = new PaceShare(instance.name, () => this._session.ageMs());
 		this._selector = new TargetSelector(
 			this._session.view,
 			instance,
 			regions,
-			this._bounds.shifts,
+			this._serviceBounds.shifts,
 			share,
 			this._targetLimits
 		);
 		const { onDidStepFar } = this._selector;
-		const watch = this._register(new RegionWatch(_session, log, this._bounds.shifts.windowMs, onDidStepFar));
-		const lostRuns = this._register(new LostRunWatch(metrics, log));
-		this._quarantine = this._register(new QuarantineGuard(_session, lostRuns));
-		this._followUp = new FollowUp(_session.view, this._selector, this._quarantine, _bounds);
-		this._sender = this._register(
+		const regionTrafficMonitor = this._register(
+			new RegionWatch(_session, log, this._serviceBounds.shifts.windowMs, onDidStepFar)
+		);
+		const lostRunDetector = this._register(new LostRunWatch(metrics, log));
+		this._quarantineGuard = this._register(new QuarantineGuard(_session, lostRunDetector));
+		this._retryPolicy = new RetryPolicy(_session.view, this._selector, this._quarantineGuard, _serviceBounds);
+		this._attemptSender = this._register(
 			new AttemptSender({
 				region: instance.region,
 				linkMbit,
-				names,
-				notes: this._notes,
-				watch,
-				largeAnswers: this._largeAnswers,
+				headerNames,
+				outcomeTracker: this._outcomeTracker,
+				regionTrafficMonitor,
+				largeResponseLimiter: this._largeResponseLimiter,
 				view: _session.view,
-				lostRuns,
-				rests: new RestWatch(metrics, log, now => this._selector.restingByService(now)),
+				lostRunDetector,
+				backoffMonitor: new RestWatch(metrics, log, now => this._selector.restingByService(now)),
 				limits: this._targetLimits,
-				limitWatch: this._register(new LimitWatch(metrics, log, this._targetLimits))
+				limitMonitor: this._register(new LimitWatch(metrics, log, this._targetLimits))
 			})
 		);
-		const timer = setInterval(() => this._tellNeeds(), DEMAND_INTERVAL_MS);
+		const timer = setInterval(() => this._reportDemand(), DEMAND_REPORT_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
-	private _tellNeeds(): void {
+	private _reportDemand(): void {
 		const now = systemClock.now();
-		this._session.setDemand(this._notes.slotsNeeded(now));
-		this._session.addNeeds(this._selector.takeNeeds(service => this._notes.typicalMs(service, now)));
+		this._session.setDemand(this._outcomeTracker.slotsNeeded(now));
+		this._session.addNeeds(this._selector.takeNeeds(service => this._outcomeTracker.typicalMs(service, now)));
 	}
 
 	async serve(exchange: CallerExchange): Promise<void> {
 		const { routes } = this._session.view;
 		if (!routes) {
-			exchange.refuse(refusal(RefusalReason.NoConfiguration, NO_CONFIGURATION_RETRY_MS));
+			exchange.sendLocalResponse(unavailableResponse(RefusalReason.NoConfiguration, NO_CONFIGURATION_RETRY_AFTER_MS));
 			return;
 		}
 		const route = routes.find(exchange.host, exchange.path);
 		if (!route) {
-			exchange.refuse({ status: 404, verdict: 'not-run', reason: 'no-route' });
+			exchange.sendLocalResponse({ status: 404, verdict: 'not-run', reason: 'no-route' });
 			return;
 		}
 		const access = accessOf(routes, route, exchange.keyDigest);
 		if (!access.isGranted) {
-			exchange.refuse(denial(access));
+			exchange.sendLocalResponse(accessDeniedResponse(access));
 			return;
 		}
 		let body: RequestBody;
@@ -137,9 +146,9 @@
 			return;
 		}
 		const service = chooseService(route, exchange.requestId);
-		this._notes.noteRequest(service, exchange.arrivedAt);
-		this._followUp.allowance(service).noteFirstTry(exchange.arrivedAt);
-		const journey: Journey = {
+		this._outcomeTracker.noteRequest(service, exchange.arrivedAt);
+		this._retryPolicy.retryBudgetOf(service).noteFirstTry(exchange.arrivedAt);
+		const context: Journey = {
 			exchange,
 			route,
 			homeRegions: access.homeRegions,
@@ -148,136 +157,147 @@
 			body,
 			deadline: exchange.arrivedAt + Math.min(exchange.remainingMs, route.timeoutMs),
 			tried: new Set(),
-			hasLeave: access.team?.limit === undefined,
-			arrivals: 0,
+			hasTeamPermit: access.team?.limit === undefined,
+			possibleRuns: 0,
 			refusals: 0,
-			noConnections: 0,
+			connectFailures: 0,
 			permitsDenied: 0,
 			attempts: [],
 			phase: QuarantinePhase.Clear
 		};
-		if (this._admitsLarge(exchange, route)) {
-			await this._travel(journey);
+		if (this._admitLargeResponse(exchange, route)) {
+			await this._forward(context);
 		} else {
-			this._giveUp(journey, refusal(RefusalReason.LinkFull, RETRY_SOON_MS));
+			this._finishWithLocalResponse(context, unavailableResponse(RefusalReason.LinkFull, SHORT_RETRY_AFTER_MS));
 		}
-		if (access.team?.limit && journey.hasLeave) {
-			this._limits.giveBack(access.team);
+		if (access.team?.limit && context.hasTeamPermit) {
+			this._teamLimits.giveBack(access.team);
 		}
 		body.discardRest();
 	}
 
-	/** Keeps room on the link for a large answer until its caller has it. */
-	private _admitsLarge(exchange: CallerExchange, route: Route): boolean {
+	/**
+	 * Reserves link bandwidth for a large response until the exchange closes; routes without large responses are always admitted.
+	 * @returns false where the link has no bandwidth left for it
+	 */
+	private _admitLargeResponse(exchange: CallerExchange, route: Route): boolean {
 		if (route.repeatRule !== RepeatRule.LargeAnswer) {
 			return true;
 		}
-		const bytes = this._largeAnswers.admit(route);
+		const bytes = this._largeResponseLimiter.admit(route);
 		if (bytes === undefined) {
 			return false;
 		}
-		exchange.whenClosed(() => this._largeAnswers.release(bytes));
+		exchange.setCloseHandler(() => this._largeResponseLimiter.release(bytes));
 		return true;
 	}
 
-	private async _travel(journey: Journey): Promise<void> {
-		const { exchange } = journey;
+	private async _forward(context: Journey): Promise<void> {
+		const { exchange } = context;
 		while (!exchange.hasLeft) {
 			const now = systemClock.now();
-			if (journey.deadline - now < LEAST_TIME_MS) {
-				this._giveUp(journey, refusal(RefusalReason.DeadlinePassed, RETRY_SOON_MS));
+			if (context.deadline - now < MIN_REMAINING_MS) {
+				this._finishWithLocalResponse(context, unavailableResponse(RefusalReason.DeadlinePassed, SHORT_RETRY_AFTER_MS));
 				return;
 			}
-			const denied = this._deniedNow(journey);
-			if (denied) {
-				this._giveUp(journey, denied);
+			const accessDenied = this._recheckAccess(context);
+			if (accessDenied) {
+				this._finishWithLocalResponse(context, accessDenied);
 				return;
 			}
-			const beyond = await this._takeLeave(journey);
-			if (beyond) {
-				this._giveUp(journey, beyond);
+			const limitExceeded = await this._acquireTeamPermit(context);
+			if (limitExceeded) {
+				this._finishWithLocalResponse(context, limitExceeded);
 				return;
 			}
 			if (exchange.hasLeft) {
 				return;
 			}
-			journey.phase = this._quarantine.phase(journey);
-			if (journey.phase === QuarantinePhase.Quarantined) {
-				this._giveUp(journey, quarantineRefusal());
+			context.phase = this._quarantineGuard.phase(context);
+			if (context.phase === QuarantinePhase.Quarantined) {
+				this._finishWithLocalResponse(context, quarantinedResponse());
 				return;
 			}
-			const candidate = this._selector.choose(journey, systemClock.now());
+			const candidate = this._selector.choose(context, systemClock.now());
 			if (!candidate) {
-				this._giveUp(journey, this._followUp.noTarget(journey));
+				this._finishWithLocalResponse(context, this._retryPolicy.noTargetResponse(context));
 				return;
 			}
-			const permit = await this._takePermit(journey, candidate);
+			const permit = await this._acquireTargetPermit(context, candidate);
 			if (permit === 'none') {
 				continue;
 			}
-			const outcome = await this._sender.send(journey, candidate, permit);
-			this._quarantine.noteOutcome(journey, outcome);
-			const next = this._followUp.after(journey, outcome);
-			if (next === 'again') {
+			const outcome = await this._attemptSender.send(context, candidate, permit);
+			this._quarantineGuard.noteOutcome(context, outcome);
+			const decision = this._retryPolicy.decide(context, outcome);
+			if (decision === 'again') {
 				continue;
 			}
-			if (next !== 'pass') {
-				this._giveUp(journey, next);
+			if (decision !== 'pass') {
+				this._finishWithLocalResponse(context, decision);
 			} else if (outcome.type === 'answer') {
-				this._pass(journey, outcome);
+				this._finishWithTargetResponse(context, outcome);
 			}
 			return;
 		}
 	}
 
 	/**
-	 * Takes leave of the team's limit for one target that may run the request; what a target certainly did not run needs none.
-	 * @returns the answer for a request beyond the limit; undefined for one within it
+	 * Takes a permit from the team's rate limit. One permit covers one attempt that may have run; attempts that certainly did not run
+	 * leave it unused.
+	 * @returns the response that refuses the request where no permit was granted; otherwise undefined
 	 */
-	private async _takeLeave(journey: Journey): Promise<OwnAnswer | undefined> {
-		if (journey.hasLeave || !journey.team) {
+	private async _acquireTeamPermit(context: Journey): Promise<LocalResponse | undefined> {
+		if (context.hasTeamPermit || !context.team) {
 			return undefined;
 		}
-		const leave = await this._limits.admit(journey.team);
-		journey.hasLeave = leave.verdict === LimitVerdict.Admitted;
-		return journey.hasLeave ? undefined : limitRefusal(leave);
+		const admission = await this._teamLimits.admit(context.team);
+		context.hasTeamPermit = admission.verdict === LimitVerdict.Admitted;
+		return context.hasTeamPermit ? undefined : teamLimitResponse(admission);
 	}
 
-	/** Takes a permit within the limit of a target; undefined where it has none, so that none is needed. */
-	private async _takePermit(journey: Journey, { known }: ChosenTarget): Promise<IPermit | 'none' | undefined> {
+	/** Takes a permit from the target's rate limit; undefined where the target has no limit, `'none'` where no permit is available. */
+	private async _acquireTargetPermit(context: Journey, { known }: ChosenTarget): Promise<IPermit | 'none' | undefined> {
 		if (this._targetLimits.perSecond(known.record, systemClock.now()) === undefined) {
 			return undefined;
 		}
 		const permit = await this._targetLimits.take(known.record);
-		journey.permitsDenied += permit ? 0 : 1;
+		context.permitsDenied += permit ? 0 : 1;
 		return permit ?? 'none';
 	}
 
-	/** A key may be taken away while its requests wait for another try; undefined where it still holds. */
-	private _deniedNow({ route, exchange }: Journey): OwnAnswer | undefined {
+	/** Checks access again before each attempt, since a key can be revoked between attempts; undefined where access is still granted. */
+	private _recheckAccess({ route, exchange }: Journey): LocalResponse | undefined {
 		const { routes } = this._session.view;
 		const access = routes && accessOf(routes, route, exchange.keyDigest);
-		return access && !access.isGranted ? denial(access) : undefined;
+		return access && !access.isGranted ? accessDeniedResponse(access) : undefined;
 	}
 
-	private _pass(journey: Journey, answer: TargetAnswer): void {
-		journey.exchange.pass(answer);
-		this._record(journey, RequestEnd.Answered, answer.status);
+	private _finishWithTargetResponse(context: Journey, response: TargetAnswer): void {
+		context.exchange.forwardResponse(response);
+		this._record(context, RequestEnd.Answered, response.status);
 	}
 
-	private _giveUp(journey: Journey, answer: OwnAnswer): void {
-		const { exchange, failure } = journey;
-		if (failure && !exchange.hasLeft) {
-			this._pass(journey, failure);
+	/** Ends the request without a further attempt; a server error that a target returned earlier goes before the local response. */
+	private _finishWithLocalResponse(context: Journey, response: LocalResponse): void {
+		const { exchange, errorResponse } = context;
+		if (errorResponse && !exchange.hasLeft) {
+			this._finishWithTargetResponse(context, errorResponse);
 			return;
 		}
-		const honest = journey.arrivals > 0 && answer.verdict === 'not-run' ? { ...answer, ...IN_DOUBT } : answer;
-		exchange.refuse(honest);
-		this._record(journey, exchange.hasLeft ? RequestEnd.CallerLeft : endOf(honest), honest.status, honest.reason);
+		const finalResponse =
+			context.possibleRuns > 0 && response.verdict === 'not-run' ? { ...response, ...MAY_HAVE_RUN } : response;
+		exchange.sendLocalResponse(finalResponse);
+		this._record(
+			context,
+			exchange.hasLeft ? RequestEnd.CallerDisconnected : requestEndOf(finalResponse),
+			finalResponse.status,
+			finalResponse.reason
+		);
 	}
 
-	private _record(journey: Journey, end: RequestEnd, status?: number, reason?: string): void {
-		const { exchange, route, service, team, attempts } = journey;
+	private _record(context: Journey, end: RequestEnd, status?: number, reason?: string): void {
+		const { exchange, route, service, team, attempts } = context;
 		const tableVersion = this._session.view.routes?.table.version;
 		const viewAgeMs = this._session.ageMs();
 		this._recorder.record({
--- a/src/plugins/forwarding/node/frontListener.ts
+++ b/src/plugins/forwarding/node/frontListener.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The listener for callers, and its planned stop. */
+/** The HTTP listener for callers, including its readiness endpoint and graceful shutdown. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -23,59 +23,59 @@
 import { LinkScheduler } from './linkScheduler.js';
 
 const MAX_HEADER_BYTES = 64 * 1024;
-const DEFAULT_IDLE_MS = 30000;
-/** A connection is kept this much longer than callers were told, so that none of their requests crosses the close. */
-const IDLE_MARGIN_MS = 2000;
-const READY_POLL_MS = 50;
-/** The view is too old to take callers by. */
-const MAX_READY_AGE_MS = 10000;
-/** Callers that were told of this instance before it stopped go on coming for a while. */
-const ACCEPT_WHILE_STOPPING_MS = 3000;
-const STOP_POLL_MS = 25;
-/** Time kept for the end of the process itself. */
-const STOP_MARGIN_MS = 1000;
+const DEFAULT_IDLE_TIMEOUT_MS = 30000;
+/** Idle connections are kept this much longer than the timeout that callers know, so that no request arrives while they are being closed. */
+const IDLE_TIMEOUT_MARGIN_MS = 2000;
+const READINESS_POLL_MS = 50;
+/** Not ready while the fleet view is older than this. */
+const MAX_VIEW_AGE_MS = 10000;
+/** How long a draining instance keeps accepting connections: callers may still use an earlier look-up that names it. */
+const ACCEPT_DURING_DRAIN_MS = 3000;
+const DRAIN_POLL_MS = 25;
+/** Part of the grace period reserved for the exit of the process. */
+const EXIT_MARGIN_MS = 1000;
 
-/** The listener for callers. */
+/** Accepts callers' connections and hands their requests to forwarding. */
 export class FrontListener extends Disposable {
 	private readonly _settings: FrontSettings;
 	private readonly _server: Server;
-	private readonly _idle: IdleConnections;
-	private readonly _ready: HttpListener;
-	private readonly _link: LinkScheduler;
+	private readonly _idleConnections: IdleConnections;
+	private readonly _readinessListener: HttpListener;
+	private readonly _linkScheduler: LinkScheduler;
 	private _inFlight = 0;
-	private _isStopping = false;
+	private _isDraining = false;
 	private _isListening = false;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IFleetSession private readonly _session: IFleetSession,
 		@IForwarding private readonly _forwarding: IForwarding,
-		@IHeaderNames private readonly _names: IHeaderNames,
-		@IServiceBounds private readonly _bounds: IServiceBounds,
+		@IHeaderNames private readonly _headerNames: IHeaderNames,
+		@IServiceBounds private readonly _serviceBounds: IServiceBounds,
 		@IMetricsService metrics: IMetricsService,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
 		this._settings = settings.section<FrontSettings>('front');
-		this._link = new LinkScheduler(new LinkPacer(this._settings.linkMbit));
-		this._server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, keepAliveTimeout: DEFAULT_IDLE_MS });
-		this._idle = new IdleConnections(this._server);
+		this._linkScheduler = new LinkScheduler(new LinkPacer(this._settings.linkMbit));
+		this._server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS });
+		this._idleConnections = new IdleConnections(this._server);
 		this._server.requestTimeout = 0;
 		this._server.maxConnections = this._settings.maxConnections;
 		this._server.on('request', (request, response) => this._onRequest(request, response));
-		this._ready = this._register(
+		this._readinessListener = this._register(
 			new HttpListener({
 				address: this._settings.readyAddress,
 				maxConnections: 100,
 				metrics,
 				isReady: () => this._isReady(),
-				onError: error => this._log.error('page failed', { task: 'front', error: error.message })
+				onError: error => this._log.error('readiness listener request failed', { task: 'front', error: error.message })
 			})
 		);
 		this._register(toDisposable(() => this._server.closeAllConnections()));
 	}
 
-	/** Opens both listeners; callers are named this instance once it knows the routes. */
+	/** Opens the listeners for callers and for readiness checks; look-ups name this instance once it is ready. */
 	async start(): Promise<void> {
 		const [host, port] = this._settings.callerAddress.split(':');
 		await new Promise<void>((resolve, reject) => {
@@ -83,48 +83,51 @@
 			this._server.listen(Number(port), host, () => resolve());
 		});
 		this._isListening = true;
-		await this._ready.listen();
-		const timer = setInterval(() => this._session.setReady(this._isReady()), READY_POLL_MS);
+		await this._readinessListener.listen();
+		const timer = setInterval(() => this._session.setReady(this._isReady()), READINESS_POLL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
-	/** Leaves the look-ups at once, serves those who come all the same, and ends when nothing is in flight. */
+	/**
+	 * Withdraws this instance from look-ups at once, goes on serving requests that still arrive, and returns when none is in flight or
+	 * the grace period is about to end.
+	 */
 	async drain(): Promise<void> {
 		const startedAt = systemClock.now();
-		this._isStopping = true;
+		this._isDraining = true;
 		this._session.setReady(false);
-		this._idle.close();
-		const stopAt = startedAt + this._bounds.stopGraceMs - STOP_MARGIN_MS;
+		this._idleConnections.close();
+		const drainDeadline = startedAt + this._serviceBounds.stopGraceMs - EXIT_MARGIN_MS;
 		for (;;) {
-			const age = systemClock.now() - startedAt;
-			const isAccepting = age < Math.min(ACCEPT_WHILE_STOPPING_MS, this._bounds.stopGraceMs / 2);
+			const elapsedMs = systemClock.now() - startedAt;
+			const isAccepting = elapsedMs < Math.min(ACCEPT_DURING_DRAIN_MS, this._serviceBounds.stopGraceMs / 2);
 			if (!isAccepting && this._isListening) {
 				this._isListening = false;
-				this._idle.stopListening();
-				this._idle.close();
+				this._idleConnections.stopListening();
+				this._idleConnections.close();
 			}
-			if ((!isAccepting && this._inFlight === 0) || systemClock.now() > stopAt) {
+			if ((!isAccepting && this._inFlight === 0) || systemClock.now() > drainDeadline) {
 				break;
 			}
-			await pause(STOP_POLL_MS);
+			await delay(DRAIN_POLL_MS);
 		}
-		this._log.info('front stopped', { task: 'front', inFlight: this._inFlight });
+		this._log.info('caller listener stopped', { task: 'front', inFlight: this._inFlight });
 	}
 
 	private _isReady(): boolean {
-		const isKnown = this._session.view.routes !== undefined;
-		return !this._isStopping && isKnown && this._session.ageMs() < MAX_READY_AGE_MS;
+		const hasRoutes = this._session.view.routes !== undefined;
+		return !this._isDraining && hasRoutes && this._session.ageMs() < MAX_VIEW_AGE_MS;
 	}
 
 	private _onRequest(request: IncomingMessage, response: ServerResponse): void {
 		this._inFlight++;
 		response.once('close', () => this._inFlight--);
-		const idleMs = this._session.view.routes?.table.limits.idleTimeoutMs;
-		this._server.keepAliveTimeout = (idleMs ?? DEFAULT_IDLE_MS) + IDLE_MARGIN_MS;
-		if (this._isStopping) {
+		const idleTimeoutMs = this._session.view.routes?.table.limits.idleTimeoutMs;
+		this._server.keepAliveTimeout = (idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS) + IDLE_TIMEOUT_MARGIN_MS;
+		if (this._isDraining) {
 			response.setHeader('Connection', 'close');
 		}
-		const exchange = new CallerExchange(request, response, this._names, this._link);
+		const exchange = new CallerExchange(request, response, this._headerNames, this._linkScheduler);
 		this._forwarding.serve(exchange).catch((error: Error) => {
 			this._log.error('request failed', { task: 'front', requestId: exchange.requestId, error: error.stack });
 			response.destroy();
@@ -132,6 +135,6 @@
 	}
 }
 
-function pause(ms: Millis): Promise<void> {
+function delay(ms: Millis): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, ms));
 }
--- a/src/plugins/forwarding/node/journey.ts
+++ b/src/plugins/forwarding/node/journey.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** One request on its way to its answer, and what outcomes mean for it. */
+/** State of one request while it is forwarded, classification of attempt outcomes, and the local responses that refuse requests. */
 
 import type { Millis } from '../../../base/clock.js';
 import { RefusalReason } from '../../../base/verdict.js';
@@ -13,64 +13,65 @@
 import type { DeniedAccess } from '../../routes/common/teamAccess.js';
 import type { AttemptOutcome, TargetAnswer } from '../common/attempt.js';
 import type { AttemptTrace } from '../common/requestTrace.js';
-import type { CallerExchange, OwnAnswer } from './callerExchange.js';
+import type { CallerExchange, LocalResponse } from './callerExchange.js';
 import type { RequestBody } from './requestBody.js';
 import { RequestEnd } from './requestRecorder.js';
 
-/** Statuses from here on say that a target failed. */
-const STATUS_FAILURES = 500;
-const STATUS_UNKNOWN_KEY = 401;
+const MIN_SERVER_ERROR_STATUS = 500;
+const STATUS_UNAUTHORIZED = 401;
 const STATUS_FORBIDDEN = 403;
 const STATUS_TOO_MANY = 429;
 const STATUS_UNAVAILABLE = 503;
 
-/** One request on its way. */
+/** One request while it is forwarded. */
 export interface Journey {
 	readonly exchange: CallerExchange;
 	readonly route: Route;
-	/** Regions in which it may be served; empty means any. */
+	/** Regions in which the request may be served; empty for any. */
 	readonly homeRegions: readonly string[];
-	/** The team on whose behalf it is sent; undefined for nobody's. */
+	/** The team on whose behalf the request is sent; undefined for none. */
 	readonly team: Team | undefined;
 	readonly service: string;
 	readonly body: RequestBody;
+	/** On the monotonic clock. */
 	readonly deadline: Millis;
+	/** Ids of targets that are not selected for this request again. */
 	readonly tried: Set<string>;
-	/** Whether the limit of its team leaves room to send it to one more target; always where there is no limit. */
-	hasLeave: boolean;
-	/** Targets that may have run the request. */
-	arrivals: number;
-	/** Targets that turned it away. */
+	/** Whether an unused permit of the team's rate limit covers the next attempt; stays true for a team without a limit. */
+	hasTeamPermit: boolean;
+	/** Attempts that may have run the request. */
+	possibleRuns: number;
+	/** Attempts that reached a target and were refused by it. */
 	refusals: number;
-	noConnections: number;
-	/** Permits within limits of targets that were asked for and not got. */
+	connectFailures: number;
+	/** Permits within rate limits of targets that were requested and denied. */
 	permitsDenied: number;
-	/** What a target answered, if that was a failure and another target was asked. */
-	failure?: TargetAnswer;
+	/** The latest server error of a target after which the request was retried. */
+	errorResponse?: TargetAnswer;
 	readonly attempts: AttemptTrace[];
-	/** What was known of it when its next target was chosen. */
+	/** Quarantine phase of the request when its current target was selected. */
 	phase: QuarantinePhase;
-	/** Hash of host and path, once it was needed. */
+	/** Hash of host and path; computed on first use. */
 	pathHash?: number;
-	/** What stays the same when its caller sends it again, once that was needed. */
+	/** Identity that is the same when the caller repeats the request; computed on first use. */
 	identity?: RequestIdentity;
-	/** The target of the attempt before, where its connection was lost. */
+	/** Target of the previous attempt, where its connection was lost. */
 	lostTargetId?: string;
-	/** Whether a target ended under it. */
+	/** Whether a target stopped while running the request. */
 	hasEndedTarget?: boolean;
 }
 
-/** Whether a target answered that it failed. */
-export function isFailure(answer: TargetAnswer): boolean {
-	return answer.status >= STATUS_FAILURES;
+/** Whether the response has a 5xx status. */
+export function isFailure(response: TargetAnswer): boolean {
+	return response.status >= MIN_SERVER_ERROR_STATUS;
 }
 
-/** Whether a target may have begun to run the request. */
+/** Whether the target may have started to run the request. */
 export function mayHaveRun(outcome: AttemptOutcome): boolean {
 	return outcome.type === 'abandoned' ? outcome.mayHaveRun : outcome.type !== 'not-run';
 }
 
-/** An outcome in a word, with its cause, for the log. */
+/** The type of an outcome with its cause, for logs and metrics: `type` or `type: cause`. */
 export function describeOutcome(outcome: AttemptOutcome): string {
 	switch (outcome.type) {
 		case 'answer':
@@ -84,33 +85,33 @@
 	}
 }
 
-/** How a request ended that got an answer of the system's own. */
-export function endOf(answer: OwnAnswer): RequestEnd {
-	if (answer.verdict === 'not-run') {
+/** How a request that got a local response ended. */
+export function requestEndOf(response: LocalResponse): RequestEnd {
+	if (response.verdict === 'not-run') {
 		return RequestEnd.Refused;
 	}
-	return answer.reason === RefusalReason.DeadlinePassed ? RequestEnd.TimeOver : RequestEnd.Broken;
+	return response.reason === RefusalReason.DeadlinePassed ? RequestEnd.TimedOut : RequestEnd.Broken;
 }
 
-/** The answer to a request that may not be served; asking again does not help. */
-export function denial({ reason }: DeniedAccess): OwnAnswer {
-	const status = reason === RefusalReason.UnknownKey ? STATUS_UNKNOWN_KEY : STATUS_FORBIDDEN;
+/** Without a Retry-After, since a retry does not help. */
+export function accessDeniedResponse({ reason }: DeniedAccess): LocalResponse {
+	const status = reason === RefusalReason.UnknownKey ? STATUS_UNAUTHORIZED : STATUS_FORBIDDEN;
 	return { status, verdict: 'not-run', reason };
 }
 
-/** The answer to a request beyond its team's limit, or one whose team's credits nobody could renew. */
-export function limitRefusal({ verdict, retryAfterMs }: LimitAnswer): OwnAnswer {
+/** 429 for a team over its rate limit; 503 where the team's permits could not be renewed. */
+export function teamLimitResponse({ verdict, retryAfterMs }: LimitAnswer): LocalResponse {
 	return verdict === LimitVerdict.OverLimit
 		? { status: STATUS_TOO_MANY, verdict: 'not-run', reason: RefusalReason.OverLimit, retryAfterMs }
-		: refusal(RefusalReason.NoQuorum, retryAfterMs);
+		: unavailableResponse(RefusalReason.NoQuorum, retryAfterMs);
 }
 
-/** The answer to a request that ends each target that runs it; asking again does not help, so no time is named. */
-export function quarantineRefusal(): OwnAnswer {
+/** For a request that stops each target that runs it; without a Retry-After, since a retry does not help. */
+export function quarantinedResponse(): LocalResponse {
 	return { status: STATUS_UNAVAILABLE, verdict: 'not-run', reason: RefusalReason.Quarantined };
 }
 
-/** A refusal: nothing has run, and asking again may help. */
-export function refusal(reason: RefusalReason, retryAfterMs: Millis): OwnAnswer {
+/** 503 for a request that has not run and may succeed when retried. */
+export function unavailableResponse(reason: RefusalReason, retryAfterMs: Millis): LocalResponse {
 	return { status: STATUS_UNAVAILABLE, verdict: 'not-run', reason, retryAfterMs };
 }
--- a/src/plugins/forwarding/node/linkScheduler.ts
+++ b/src/plugins/forwarding/node/linkScheduler.ts
@@ -2,69 +2,66 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/**
- * Decides which large body may pass its next piece: the oldest that has one, at the pace of the link. Taking turns would
- * make all of them late together when there are many.
- */
+/** Schedules the chunks of large bodies on the network link: the oldest body first, since round-robin would make all of them late under load. */
 
 import { systemClock } from '../../../base/clock.js';
 import type { LinkPacer } from '../common/linkPacer.js';
 
-interface WaitingPiece {
-	/** Grows with each body; the lowest goes first. */
-	readonly order: number;
+interface WaitingChunk {
+	/** Increases with each body; the lowest goes first. */
+	readonly bodyNumber: number;
 	readonly bytes: number;
-	readonly pass: () => void;
+	readonly release: () => void;
 }
 
-/** Hands the link's room for large bodies out, piece by piece. */
+/** Shares the link bandwidth for large bodies among them. */
 export class LinkScheduler {
-	private readonly _waiting: WaitingPiece[] = [];
+	private readonly _waiting: WaitingChunk[] = [];
 	private _timer?: NodeJS.Timeout;
-	private _bodies = 0;
-	private _isPassing = false;
+	private _lastBodyNumber = 0;
+	private _isReleasing = false;
 
 	constructor(private readonly _pacer: LinkPacer) {}
 
-	/** The order of a body that begins now. */
+	/** A number for a new body. */
 	nextOrder(): number {
-		return ++this._bodies;
+		return ++this._lastBodyNumber;
 	}
 
-	/** Calls back when a piece may pass; a body has one piece waiting at a time. */
-	request(order: number, bytes: number, pass: () => void): void {
-		this._waiting.push({ order, bytes, pass });
-		this._passPieces();
+	/** Calls `release` when a chunk may be sent; a body has at most one chunk waiting. */
+	request(bodyNumber: number, bytes: number, release: () => void): void {
+		this._waiting.push({ bodyNumber, bytes, release });
+		this._releaseChunks();
 	}
 
-	private _passPieces(): void {
-		if (this._isPassing) {
+	private _releaseChunks(): void {
+		if (this._isReleasing) {
 			return;
 		}
-		this._isPassing = true;
+		this._isReleasing = true;
 		while (this._timer === undefined && this._waiting.length > 0) {
-			const piece = this._takeOldest();
-			piece.pass();
-			const waitMs = this._pacer.reserve(piece.bytes, systemClock.now());
+			const chunk = this._takeOldest();
+			chunk.release();
+			const waitMs = this._pacer.reserve(chunk.bytes, systemClock.now());
 			if (waitMs > 0) {
-				this._timer = setTimeout(() => this._goOn(), waitMs);
+				this._timer = setTimeout(() => this._onTimer(), waitMs);
 			}
 		}
-		this._isPassing = false;
+		this._isReleasing = false;
 	}
 
-	private _goOn(): void {
+	private _onTimer(): void {
 		this._timer = undefined;
-		this._passPieces();
+		this._releaseChunks();
 	}
 
-	private _takeOldest(): WaitingPiece {
-		let oldest = 0;
+	private _takeOldest(): WaitingChunk {
+		let oldestIndex = 0;
 		for (let i = 1; i < this._waiting.length; i++) {
-			if (this._waiting[i]!.order < this._waiting[oldest]!.order) {
-				oldest = i;
+			if (this._waiting[i]!.bodyNumber < this._waiting[oldestIndex]!.bodyNumber) {
+				oldestIndex = i;
 			}
 		}
-		return this._waiting.splice(oldest, 1)[0]!;
+		return this._waiting.splice(oldestIndex, 1)[0]!;
 	}
 }
--- a/src/plugins/forwarding/node/lostRunWatch.ts
+++ b/src/plugins/forwarding/node/lostRunWatch.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Finds out under which requests targets ended. A connection that is lost says little: a target that runs on may reset one, and
- * all that a target was running is lost with it. So the target is asked for another connection, which one that has ended refuses.
+ * Detects requests whose target stopped while running them. A lost connection does not show that, since a running target may reset one
+ * too; so the target is probed with a new connection, which a stopped target refuses.
  */
 
 import { Counter } from 'prom-client';
@@ -21,67 +21,67 @@
 import { identityOf } from './requestDigest.js';
 import { TargetProbe } from './targets/targetProbe.js';
 
-/** The runs of this instance that were lost with their targets. */
+/** Detects the runs sent by this instance that were lost with their targets. */
 export class LostRunWatch extends Disposable {
 	private readonly _onDidLose = this._register(new Emitter<SeenRun>());
-	/** Fires for each run under which its target ended. */
+	/** Fires for each run whose target stopped. */
 	readonly onDidLose = this._onDidLose.event;
 	private readonly _probe = new TargetProbe();
 	private readonly _sampler = new TraceSampler();
-	private readonly _lost: Counter;
+	private readonly _lostRuns: Counter;
 
 	constructor(
 		metrics: IMetricsService,
 		private readonly _log: ILogService
 	) {
 		super();
-		this._lost = new Counter({
+		this._lostRuns = new Counter({
 			name: 'shelffield_runs_lost_with_target_total',
-			help: 'Runs of requests under which their target ended.',
+			help: 'Runs of requests whose target stopped while running them.',
 			registers: [metrics.registry]
 		});
 	}
 
 	/**
-	 * Takes in what came of an attempt; the target of a broken one is asked, which holds nothing up.
-	 * @param sentAt when it was sent, on the monotonic clock
+	 * Records the outcome of an attempt; probes the target in the background where its connection was lost.
+	 * @param sentAt when the attempt was sent, on the monotonic clock
 	 */
-	noteAttempt(journey: Journey, target: TargetRecord, outcome: AttemptOutcome, sentAt: Millis): void {
-		const afterTargetId = journey.lostTargetId;
-		journey.lostTargetId = undefined;
-		if (outcome.type !== 'broken' || !isLost(outcome.cause)) {
+	recordAttempt(context: Journey, target: TargetRecord, outcome: AttemptOutcome, sentAt: Millis): void {
+		const afterTargetId = context.lostTargetId;
+		context.lostTargetId = undefined;
+		if (outcome.type !== 'broken' || !isConnectionLoss(outcome.cause)) {
 			return;
 		}
-		journey.lostTargetId = target.id;
+		context.lostTargetId = target.id;
 		const run: SeenRun = {
-			...identityOf(journey),
-			requestId: journey.exchange.requestId,
-			team: journey.team?.name ?? '',
+			...identityOf(context),
+			requestId: context.exchange.requestId,
+			team: context.team?.name ?? '',
 			targetId: target.id,
-			wasSuspected: journey.phase !== QuarantinePhase.Clear,
+			wasSuspected: context.phase !== QuarantinePhase.Clear,
 			afterTargetId,
 			sentAt,
 			endedAt: systemClock.now()
 		};
-		void this._noteIfEnded(journey, run, target.address);
+		void this._reportIfTargetStopped(context, run, target.address);
 	}
 
-	private async _noteIfEnded(journey: Journey, run: SeenRun, address: string): Promise<void> {
+	private async _reportIfTargetStopped(context: Journey, run: SeenRun, address: string): Promise<void> {
 		const { digest, requestId, targetId: target, team, wasSuspected, sentAt, endedAt } = run;
 		if (!(await this._probe.hasEnded(target, address))) {
 			return;
 		}
-		journey.hasEndedTarget = true;
-		this._lost.inc();
+		context.hasEndedTarget = true;
+		this._lostRuns.inc();
 		if (this._sampler.admits(false, endedAt)) {
 			const ranMs = Math.round(endedAt - sentAt);
-			const line = { task: 'forwarding', digest, requestId, target, team, wasSuspected, ranMs };
-			this._log.warn('target ended under a request', line);
+			const fields = { task: 'forwarding', digest, requestId, target, team, wasSuspected, ranMs };
+			this._log.warn('target stopped while running a request', fields);
 		}
 		this._onDidLose.fire(run);
 	}
 }
 
-function isLost(cause: BrokenCause): boolean {
+function isConnectionLoss(cause: BrokenCause): boolean {
 	return cause === BrokenCause.ConnectionLost || cause === BrokenCause.BrokenOff;
 }
--- a/src/plugins/forwarding/node/pacedBody.ts
+++ b/src/plugins/forwarding/node/pacedBody.ts
@@ -2,35 +2,35 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Large bodies at the pace of the instance's own link. The one who reads from it slowly holds its source up too. */
+/** Limits large bodies to the bandwidth of the instance's network link; back-pressure from a slow reader reaches the source. */
 
 import { Transform, type TransformCallback } from 'node:stream';
 import { PACED_PIECE_BYTES } from '../common/linkPacer.js';
 import type { LinkScheduler } from './linkScheduler.js';
 
-/** Passes a body on in small pieces, each as the link has room. */
+/** Passes a body through in small chunks, each when the link scheduler releases it. */
 export class PacedBody extends Transform {
-	private readonly _order: number;
+	private readonly _bodyNumber: number;
 
 	constructor(private readonly _scheduler: LinkScheduler) {
 		super({ highWaterMark: PACED_PIECE_BYTES });
-		this._order = _scheduler.nextOrder();
+		this._bodyNumber = _scheduler.nextOrder();
 	}
 
-	override _transform(piece: Buffer, _encoding: BufferEncoding, done: TransformCallback): void {
-		this._passFrom(piece, 0, done);
+	override _transform(chunk: Buffer, _encoding: BufferEncoding, done: TransformCallback): void {
+		this._pushFrom(chunk, 0, done);
 	}
 
-	private _passFrom(piece: Buffer, start: number, done: TransformCallback): void {
-		if (start >= piece.length) {
+	private _pushFrom(chunk: Buffer, offset: number, done: TransformCallback): void {
+		if (offset >= chunk.length) {
 			done();
 			return;
 		}
-		const part = piece.subarray(start, start + PACED_PIECE_BYTES);
-		this._scheduler.request(this._order, part.length, () => {
+		const slice = chunk.subarray(offset, offset + PACED_PIECE_BYTES);
+		this._scheduler.request(this._bodyNumber, slice.length, () => {
 			if (!this.destroyed) {
-				this.push(part);
-				this._passFrom(piece, start + part.length, done);
+				this.push(slice);
+				this._pushFrom(chunk, offset + slice.length, done);
 			}
 		});
 	}
--- a/src/plugins/forwarding/node/quarantineGuard.ts
+++ b/src/plugins/forwarding/node/quarantineGuard.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Keeps requests away from targets that end whichever target runs them. Goes by what control counted over all instances, and by
- * what this instance saw itself, since control may be out of reach.
+ * Keeps requests that stop each target that runs them away from targets. Combines what control counted over all instances with what
+ * this instance observed itself, since control may be unreachable.
  */
 
 import { systemClock } from '../../../base/clock.js';
@@ -19,66 +19,66 @@
 import type { LostRunWatch } from './lostRunWatch.js';
 import { identityOf, pathHashOf } from './requestDigest.js';
 
-/** The quarantine at this instance. */
+/** Looks up and updates the quarantine phase of requests at this instance. */
 export class QuarantineGuard extends Disposable {
-	private readonly _seen = new RequestQuarantine();
-	private readonly _seenOrder = new LossOrder();
-	private readonly _seenKnown = new KnownQuarantine();
+	private readonly _localQuarantine = new RequestQuarantine();
+	private readonly _localLossOrder = new LossOrder();
+	private readonly _localView = new KnownQuarantine();
 
 	constructor(
 		private readonly _session: IFleetSession,
-		lostRuns: LostRunWatch
+		lostRunDetector: LostRunWatch
 	) {
 		super();
-		this._register(lostRuns.onDidLose(run => this._noteLost(run)));
-		this._register(_session.view.quarantine.onDidClear(digest => this._forget(digest)));
+		this._register(lostRunDetector.onDidLose(run => this._onRunLost(run)));
+		this._register(_session.view.quarantine.onDidClear(digest => this._clear(digest)));
 	}
 
-	/** What is known of a request now; costs nothing while nothing is known of any. */
-	phase(journey: Journey): QuarantinePhase {
+	/** The quarantine phase of a request; computes no digest unless the path hash matches a suspected or quarantined request. */
+	phase(context: Journey): QuarantinePhase {
 		const { quarantine } = this._session.view;
-		if (quarantine.isEmpty && this._seenKnown.isEmpty) {
+		if (quarantine.isEmpty && this._localView.isEmpty) {
 			return QuarantinePhase.Clear;
 		}
-		journey.pathHash ??= pathHashOf(journey.exchange);
-		if (!quarantine.mayKnow(journey.pathHash) && !this._seenKnown.mayKnow(journey.pathHash)) {
+		context.pathHash ??= pathHashOf(context.exchange);
+		if (!quarantine.mayKnow(context.pathHash) && !this._localView.mayKnow(context.pathHash)) {
 			return QuarantinePhase.Clear;
 		}
-		const { digest } = identityOf(journey);
-		return Math.max(quarantine.phase(digest), this._seenKnown.phase(digest));
+		const { digest } = identityOf(context);
+		return Math.max(quarantine.phase(digest), this._localView.phase(digest));
 	}
 
 	/**
-	 * Takes in what came of an attempt: a request that a target answers does not end targets. Control is told where something is known
-	 * of it, and where a target ended under it before: the loss of several halls in a row takes the same requests along each time.
+	 * Clears a request that a target answered without a server error, and reports that to control. This includes requests not suspected
+	 * yet that lost a target: when several data halls fail in a row, the same requests lose a target each time.
 	 */
-	noteOutcome(journey: Journey, outcome: AttemptOutcome): void {
+	noteOutcome(context: Journey, outcome: AttemptOutcome): void {
 		if (outcome.type !== 'answer' || isFailure(outcome)) {
 			return;
 		}
-		if (!journey.hasEndedTarget && this.phase(journey) === QuarantinePhase.Clear) {
+		if (!context.hasEndedTarget && this.phase(context) === QuarantinePhase.Clear) {
 			return;
 		}
-		const { digest } = identityOf(journey);
-		this._forget(digest);
+		const { digest } = identityOf(context);
+		this._clear(digest);
 		this._session.reportAnswer(digest);
 	}
 
-	private _noteLost(run: SeenRun): void {
+	private _onRunLost(run: SeenRun): void {
 		this._session.reportRun(run);
 		const now = systemClock.now();
-		if (this._seenOrder.admits(told(run, now), now) && this._seen.note(run)) {
-			this._showSeen();
+		if (this._localLossOrder.admits(told(run, now), now) && this._localQuarantine.note(run)) {
+			this._refreshLocalView();
 		}
 	}
 
-	private _forget(digest: string): void {
-		if (this._seen.clear(digest)) {
-			this._showSeen();
+	private _clear(digest: string): void {
+		if (this._localQuarantine.clear(digest)) {
+			this._refreshLocalView();
 		}
 	}
 
-	private _showSeen(): void {
-		this._seenKnown.apply({ revision: this._seenKnown.revision + 1, records: this._seen.known });
+	private _refreshLocalView(): void {
+		this._localView.apply({ revision: this._localView.revision + 1, records: this._localQuarantine.known });
 	}
 }
--- a/src/plugins/forwarding/node/requestBody.ts
+++ b/src/plugins/forwarding/node/requestBody.ts
@@ -2,86 +2,88 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The body of a caller's request: small ones are held whole, so that another target can be asked; large ones pass through. */
+/** The body of a caller's request: small ones are buffered whole, so that they can be sent again; large ones are streamed. */
 
 import type { ClientRequest, IncomingMessage } from 'node:http';
 
-/** Bodies up to this size are held. */
-const HELD_BYTES = 64 * 1024;
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
-/** The caller's connection ended in the middle of the body. */
-export class BodyCutError extends Error {
+/** The caller's connection closed before the end of the request body. */
+export class BodyTruncatedError extends Error {
 	constructor() {
-		super('the caller left in the middle of the body');
+		super('caller disconnected before the end of the request body');
 		this.name = 'BodyCutError';
 	}
 }
 
-/** A body, held or passing through. */
+/** A request body, buffered whole or streamed after a buffered prefix. */
 export class RequestBody {
-	private _isSpent = false;
+	private _isConsumed = false;
 
 	private constructor(
-		private readonly _held: Buffer,
-		private readonly _rest: IncomingMessage | undefined
+		private readonly _buffered: Buffer,
+		private readonly _remainingBody: IncomingMessage | undefined
 	) {}
 
-	/** Reads up to the size that is held. */
+	/**
+	 * Buffers the body up to the limit; the rest of a larger one stays paused in `request`.
+	 * Rejects with {@link BodyTruncatedError} where the caller disconnects before that.
+	 */
 	static read(request: IncomingMessage): Promise<RequestBody> {
 		if (request.headers['content-length'] === undefined && request.headers['transfer-encoding'] === undefined) {
 			return Promise.resolve(new RequestBody(Buffer.alloc(0), undefined));
 		}
 		return new Promise((resolve, reject) => {
-			const pieces: Buffer[] = [];
+			const chunks: Buffer[] = [];
 			let size = 0;
 			const finish = (rest: IncomingMessage | undefined): void => {
 				request.removeAllListeners('data');
 				request.removeAllListeners('end');
-				resolve(new RequestBody(Buffer.concat(pieces), rest));
+				resolve(new RequestBody(Buffer.concat(chunks), rest));
 			};
-			request.on('data', (piece: Buffer) => {
-				pieces.push(piece);
-				size += piece.length;
-				if (size > HELD_BYTES) {
+			request.on('data', (chunk: Buffer) => {
+				chunks.push(chunk);
+				size += chunk.length;
+				if (size > MAX_BUFFERED_BYTES) {
 					request.pause();
 					finish(request);
 				}
 			});
 			request.on('end', () => finish(undefined));
-			request.on('close', () => reject(new BodyCutError()));
-			request.on('error', () => reject(new BodyCutError()));
+			request.on('close', () => reject(new BodyTruncatedError()));
+			request.on('error', () => reject(new BodyTruncatedError()));
 		});
 	}
 
-	/** Whether the body can be sent (again). */
-	get isAvailable(): boolean {
-		return !this._isSpent;
+	/** Whether the body can be sent: always for a buffered one, once for a streamed one. */
+	get canBeSent(): boolean {
+		return !this._isConsumed;
 	}
 
-	/** Length, where the whole body is held. */
+	/** Length in bytes of a body that is buffered whole; undefined for a streamed one. */
 	get heldLength(): number | undefined {
-		return this._rest ? undefined : this._held.length;
+		return this._remainingBody ? undefined : this._buffered.length;
 	}
 
-	/** The whole body where it is held, otherwise the beginning of it. */
+	/** The buffered bytes: the whole body, or the beginning of a streamed one. */
 	get beginning(): Buffer {
-		return this._held;
+		return this._buffered;
 	}
 
 	/** Writes the body to a target and ends the request. */
 	writeTo(request: ClientRequest): void {
-		if (!this._rest) {
-			request.end(this._held.length > 0 ? this._held : undefined);
+		if (!this._remainingBody) {
+			request.end(this._buffered.length > 0 ? this._buffered : undefined);
 			return;
 		}
-		this._isSpent = true;
-		request.write(this._held);
-		this._rest.pipe(request);
+		this._isConsumed = true;
+		request.write(this._buffered);
+		this._remainingBody.pipe(request);
 	}
 
-	/** Lets the rest of the caller's body run out unread. */
+	/** Reads the rest of a streamed body and discards it. */
 	discardRest(): void {
-		this._rest?.unpipe();
-		this._rest?.resume();
+		this._remainingBody?.unpipe();
+		this._remainingBody?.resume();
 	}
 }
--- a/src/plugins/forwarding/node/requestDigest.ts
+++ b/src/plugins/forwarding/node/requestDigest.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What makes a request the same one when its caller comes again. */
+/** Computes the identity by which a repeated request is recognized. */
 
 import { createHash } from 'node:crypto';
 import { hash32 } from '../../../base/hashing.js';
@@ -10,21 +10,21 @@
 import type { CallerExchange } from './callerExchange.js';
 import type { Journey } from './journey.js';
 
-/** Hash of host and path, by which most requests are told apart without a digest. */
+/** Hash of host and path, which rules out most requests without computing a digest. */
 export function pathHashOf({ host, path }: CallerExchange): number {
 	return hash32(`${host.toLowerCase()} ${path}`);
 }
 
 /**
- * The identity of a request. The caller's key is part of it, so that nobody's request is taken for another caller's. A body that
- * is too large to be held counts by its beginning and its length.
+ * The identity of a request, from API key, method, host, path and body. The key keeps equal requests of different callers apart. Of a
+ * streamed body only the buffered prefix and the Content-Length are included.
  */
-export function identityOf(journey: Journey): RequestIdentity {
-	journey.identity ??= digestOf(journey);
-	return journey.identity;
+export function identityOf(context: Journey): RequestIdentity {
+	context.identity ??= computeIdentity(context);
+	return context.identity;
 }
 
-function digestOf({ exchange, body }: Journey): RequestIdentity {
+function computeIdentity({ exchange, body }: Journey): RequestIdentity {
 	const { request, host, path, keyDigest } = exchange;
 	const length = body.heldLength ?? request.headers['content-length'] ?? 'unknown';
 	const parts = [keyDigest ?? '', request.method ?? '', host.toLowerCase(), path, String(length)];
--- a/src/plugins/forwarding/node/requestRecorder.ts
+++ b/src/plugins/forwarding/node/requestRecorder.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Logs and counts requests as they end. */
+/** Logs and counts completed requests. */
 
 import { Counter, Histogram } from 'prom-client';
 import { systemClock } from '../../../base/clock.js';
@@ -12,41 +12,41 @@
 import { type AttemptTrace, TraceSampler } from '../common/requestTrace.js';
 import type { CallerExchange } from './callerExchange.js';
 
-const SECONDS_BUCKETS = [0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4];
+const LATENCY_BUCKETS_SECONDS = [0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4];
 
-/** How a request ended, as it is counted; a closed list. */
+/** How a request ended; the values are metric labels. */
 export enum RequestEnd {
-	/** A target's answer was passed on. */
+	/** A target's response was forwarded. */
 	Answered = 'answered',
 	Refused = 'refused',
-	TimeOver = 'time-over',
+	TimedOut = 'time-over',
 	Broken = 'broken',
-	CallerLeft = 'caller-left'
+	CallerDisconnected = 'caller-left'
 }
 
-/** A request that has ended. */
-export interface EndedRequest {
+/** A request that has ended, as it is logged. */
+export interface CompletedRequest {
 	readonly exchange: CallerExchange;
 	readonly route: Route;
 	readonly service: string;
-	/** Name of the team on whose behalf it was sent. */
+	/** Name of the team on whose behalf the request was sent. */
 	readonly team: string | undefined;
 	readonly end: RequestEnd;
 	readonly status?: number;
 	readonly reason?: string;
 	readonly attempts: readonly AttemptTrace[];
-	/** Age of what was known of the fleet. */
+	/** Age of the fleet view. */
 	readonly viewAgeMs: number;
 	readonly tableVersion?: number;
 }
 
-/** Writes one line for a request whose end needs explaining, and keeps the figures. */
+/** Updates the request metrics, and writes a log line for each request that was not routine and for a sample of the others. */
 export class RequestRecorder {
 	private readonly _sampler = new TraceSampler();
 	private readonly _requests: Counter<'service' | 'end'>;
 	private readonly _attempts: Counter<'outcome'>;
-	private readonly _seconds: Histogram<'service'>;
-	private readonly _leftOut: Counter;
+	private readonly _latencySeconds: Histogram<'service'>;
+	private readonly _suppressedLines: Counter;
 
 	constructor(
 		metrics: IMetricsService,
@@ -55,7 +55,7 @@
 		const registers = [metrics.registry];
 		this._requests = new Counter({
 			name: 'shelffield_forwarded_requests_total',
-			help: 'Requests of callers by service and end.',
+			help: 'Requests of callers by service and how they ended.',
 			labelNames: ['service', 'end'],
 			registers
 		});
@@ -65,50 +65,49 @@
 			labelNames: ['outcome'],
 			registers
 		});
-		this._seconds = new Histogram({
+		this._latencySeconds = new Histogram({
 			name: 'shelffield_forwarded_request_seconds',
-			help: 'Arrival until the answer was passed on, for answered requests.',
+			help: 'Time from the arrival of a request until its response was forwarded, for requests answered by a target.',
 			labelNames: ['service'],
-			buckets: SECONDS_BUCKETS,
+			buckets: LATENCY_BUCKETS_SECONDS,
 			registers
 		});
-		this._leftOut = new Counter({
+		this._suppressedLines = new Counter({
 			name: 'shelffield_request_lines_left_out_total',
-			help: 'Log lines about requests that were left out to keep their volume bounded.',
+			help: 'Request log lines suppressed by the log rate limit.',
 			registers
 		});
 	}
 
-	/** Records one ended request. */
-	record(ended: EndedRequest): void {
+	record(request: CompletedRequest): void {
 		const now = systemClock.now();
-		const { exchange, route, service, end, attempts } = ended;
-		const heldMs = now - exchange.arrivedAt;
+		const { exchange, route, service, end, attempts } = request;
+		const durationMs = now - exchange.arrivedAt;
 		this._requests.inc({ service, end });
 		attempts.forEach(attempt => this._attempts.inc({ outcome: attempt.outcome.split(':')[0]! }));
 		if (end === RequestEnd.Answered) {
-			this._seconds.observe({ service }, heldMs / 1000);
+			this._latencySeconds.observe({ service }, durationMs / 1000);
 		}
-		const isPlain = end === RequestEnd.Answered && attempts.length === 1 && heldMs <= route.objectiveMs;
-		if (!this._sampler.admits(isPlain, now)) {
+		const isRoutine = end === RequestEnd.Answered && attempts.length === 1 && durationMs <= route.objectiveMs;
+		if (!this._sampler.admits(isRoutine, now)) {
 			return;
 		}
-		this._leftOut.inc(this._sampler.takeLeftOut());
+		this._suppressedLines.inc(this._sampler.takeLeftOut());
 		this._log.info('request', {
 			task: 'forwarding',
 			requestId: exchange.requestId,
 			route: route.name,
 			service,
-			team: ended.team,
+			team: request.team,
 			object: exchange.objectKey,
 			end,
-			status: ended.status,
-			reason: ended.reason,
-			heldMs: Math.round(heldMs),
+			status: request.status,
+			reason: request.reason,
+			heldMs: Math.round(durationMs),
 			remainingMs: exchange.remainingMs,
 			attempts,
-			viewAgeMs: Math.round(ended.viewAgeMs),
-			tableVersion: ended.tableVersion
+			viewAgeMs: Math.round(request.viewAgeMs),
+			tableVersion: request.tableVersion
 		});
 	}
 }
--- /dev/null
+++ b/src/plugins/forwarding/node/retryPolicy.ts
@@ -0,0 +1,148 @@
+/*---------------------------------------------------------------------------------------------
+ *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
+ *--------------------------------------------------------------------------------------------*/
+
+/** Decides whether a request is retried after an attempt, within the retry limits, and how it is answered otherwise. */
+
+import { systemClock } from '../../../base/clock.js';
+import { RefusalReason } from '../../../base/verdict.js';
+import type { FleetView } from '../../fleet/common/fleetView.js';
+import { QuarantinePhase } from '../../fleet/common/quarantineTypes.js';
+import { RepeatRule } from '../../routes/common/routeTable.js';
+import { type AttemptOutcome, type NotRun, NotRunCause, type TargetAnswer } from '../common/attempt.js';
+import { CallerReturns } from '../common/placement/callerReturns.js';
+import { RetryAllowance } from '../common/retryAllowance.js';
+import type { IServiceBounds } from '../common/serviceBounds.js';
+import { mayTryAgain } from '../common/targets/targetRefusal.js';
+import type { LocalResponse } from './callerExchange.js';
+import { isFailure, type Journey, unavailableResponse } from './journey.js';
+import type { TargetSelector } from './placement/targetSelector.js';
+import type { QuarantineGuard } from './quarantineGuard.js';
+
+/** Causes for which nothing was sent to the target; selecting another one does not count as a retry. */
+const NOT_SENT_CAUSES: ReadonlySet<NotRunCause> = new Set([
+	NotRunCause.AtRest,
+	NotRunCause.AtLimit,
+	NotRunCause.ConnectionsInUse
+]);
+/** Failed connection attempts after which a request is refused. */
+const MAX_CONNECT_FAILURES = 4;
+/** Refusals by targets after which a request is not retried. */
+const MAX_REFUSALS = 3;
+/** Retry-After for callers whose request may find capacity soon. */
+export const SHORT_RETRY_AFTER_MS = 100;
+
+/** Decides what follows each attempt. */
+export class RetryPolicy {
+	private readonly _retryBudgets = new Map<string, RetryAllowance>();
+	private readonly _retryAfterSchedulers = new Map<string, CallerReturns>();
+
+	constructor(
+		private readonly _view: FleetView,
+		private readonly _selector: TargetSelector,
+		private readonly _quarantine: QuarantineGuard,
+		private readonly _bounds: IServiceBounds
+	) {}
+
+	/** What follows an attempt: another attempt (`'again'`), forwarding the target's response (`'pass'`), or a local response. */
+	decide(context: Journey, outcome: AttemptOutcome): LocalResponse | 'again' | 'pass' {
+		switch (outcome.type) {
+			case 'answer':
+				if (this._mayRetryResponse(context, outcome)) {
+					context.errorResponse = outcome;
+					return 'again';
+				}
+				return 'pass';
+			case 'abandoned':
+				return outcome.mayHaveRun
+					? { status: 504, verdict: 'may-have-run', reason: RefusalReason.DeadlinePassed }
+					: unavailableResponse(RefusalReason.DeadlinePassed, SHORT_RETRY_AFTER_MS);
+			case 'not-run':
+				return this._decideAfterNotRun(context, outcome);
+			case 'broken':
+				return this._decideAfterBroken(context);
+		}
+	}
+
+	private _decideAfterBroken(context: Journey): LocalResponse | 'again' {
+		context.possibleRuns++;
+		// A request that several targets were lost with would likely take down the next one too.
+		const isSuspected = this._quarantine.phase(context) !== QuarantinePhase.Clear;
+		const isRepeatable = context.route.repeatRule !== RepeatRule.AtMostOnce && !isSuspected;
+		return isRepeatable && this._acquireRetry(context)
+			? 'again'
+			: { status: 502, verdict: 'may-have-run', reason: RefusalReason.TargetFailed };
+	}
+
+	/** Whether a target's error response may be discarded and the request sent to another target; takes a retry from the retry budget. */
+	private _mayRetryResponse(context: Journey, response: TargetAnswer): boolean {
+		if (!isFailure(response) || response.rest || context.route.repeatRule === RepeatRule.AtMostOnce) {
+			return false;
+		}
+		context.possibleRuns++;
+		return this._acquireRetry(context);
+	}
+
+	private _decideAfterNotRun(context: Journey, outcome: NotRun): LocalResponse | 'again' {
+		if (NOT_SENT_CAUSES.has(outcome.cause)) {
+			return 'again';
+		}
+		if (!outcome.hasArrived) {
+			context.connectFailures++;
+			return context.connectFailures < MAX_CONNECT_FAILURES
+				? 'again'
+				: unavailableResponse(RefusalReason.TargetFailed, SHORT_RETRY_AFTER_MS);
+		}
+		context.refusals++;
+		const { target } = context.attempts.at(-1)!;
+		if (mayTryAgain(outcome.cause, target, context.attempts)) {
+			context.tried.delete(target);
+		}
+		return this._acquireRetry(context) ? 'again' : this.noTargetResponse(context);
+	}
+
+	/**
+	 * The response where no target can take the request now. Where all targets are in backoff or at their rate limits, Retry-After names when
+	 * capacity returns, at most the caller's deadline; callers are spread out where capacity returns one permit at a time.
+	 */
+	noTargetResponse(context: Journey): LocalResponse {
+		const now = systemClock.now();
+		const capacity = this._selector.roomReturns(context, now);
+		if (capacity === undefined) {
+			return unavailableResponse(RefusalReason.NoCapacity, SHORT_RETRY_AFTER_MS);
+		}
+		const retryAfterMs = this._retryAfterSchedulerOf(context.service).after(capacity, context.deadline) - now;
+		const isAtLimit = capacity.cause === NotRunCause.AtLimit;
+		const reason = isAtLimit ? RefusalReason.TargetsAtLimit : RefusalReason.TargetsAtRest;
+		return unavailableResponse(reason, Math.max(SHORT_RETRY_AFTER_MS, retryAfterMs));
+	}
+
+	/** Takes one retry from the retry budget; false where the request may not be retried or the budget is used up. */
+	private _acquireRetry(context: Journey): boolean {
+		return (
+			context.possibleRuns < context.route.attempts &&
+			context.refusals < MAX_REFUSALS &&
+			context.body.canBeSent &&
+			this.retryBudgetOf(context.service).take(this._view.entryCount, systemClock.now())
+		);
+	}
+
+	private _retryAfterSchedulerOf(service: string): CallerReturns {
+		let scheduler = this._retryAfterSchedulers.get(service);
+		if (!scheduler) {
+			scheduler = new CallerReturns();
+			this._retryAfterSchedulers.set(service, scheduler);
+		}
+		return scheduler;
+	}
+
+	/** The retry budget of a service at this instance. */
+	retryBudgetOf(service: string): RetryAllowance {
+		let budget = this._retryBudgets.get(service);
+		if (!budget) {
+			budget = new RetryAllowance(this._bounds.retries);
+			this._retryBudgets.set(service, budget);
+		}
+		return budget;
+	}
+}
--- a/src/plugins/forwarding/node/targetExchange.ts
+++ b/src/plugins/forwarding/node/targetExchange.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Sends one request to one target and says what came of it. */
+/** Sends one request to one target and determines the outcome. */
 
 import { type ClientRequest, type IncomingMessage, request as httpRequest } from 'node:http';
 import type { Socket } from 'node:net';
@@ -14,21 +14,20 @@
 import type { RequestBody } from './requestBody.js';
 import type { TargetAgent } from './targets/targetAgent.js';
 
-const STATUS_OTHER_TARGET = 421;
+const STATUS_MISDIRECTED_REQUEST = 421;
 const STATUS_NO_CONTENT = 204;
 const STATUS_NOT_MODIFIED = 304;
-const STATUS_UNAVAILABLE = 503;
-const STATUS_TOO_MANY = 429;
-/** How Node.js begins the codes of its HTTP parser's errors. */
-const PARSER_ERRORS = 'HPE_';
+const STATUS_SERVICE_UNAVAILABLE = 503;
+const STATUS_TOO_MANY_REQUESTS = 429;
+/** Prefix of the error codes of the Node.js HTTP parser. */
+const PARSER_ERROR_PREFIX = 'HPE_';
 
-/** Why a request that was not written yet is taken back. */
-export type WithdrawCause = NotRunCause.AtRest | NotRunCause.AtLimit;
+/** Why an attempt is cancelled before its request is written. */
+export type CancelCause = NotRunCause.AtRest | NotRunCause.AtLimit;
 
-/** What is sent, and where. */
-export interface TargetRequest {
+/** The request to send and its target. */
+export interface TargetExchangeOptions {
 	readonly requestId: string;
-	/** Id of the target. */
 	readonly targetId: string;
 	readonly host: string;
 	readonly port: number;
@@ -37,10 +36,13 @@
 	readonly rawHeaders: RawHeaders;
 	readonly body: RequestBody;
 	readonly connectTimeoutMs: Millis;
-	/** Answers up to this size are held whole before the caller sees any of it, so that a broken one can be replaced. */
-	readonly heldBytes: number;
-	/** Is told what the target says of itself, as soon as the head of its answer is there, and when the request may have been written. */
-	readonly onWord: (word: TargetWord, writtenAt: Millis) => void;
+	/** Responses up to this size are buffered whole before any of it is forwarded, so that a truncated one can be retried. */
+	readonly maxBufferedBytes: number;
+	/**
+	 * Called with the state that the target reports in its response headers, as soon as they arrive.
+	 * `writtenAt` is when the request may have been written, on the monotonic clock.
+	 */
+	readonly onTargetReport: (report: TargetWord, writtenAt: Millis) => void;
 }
 
 function mayHaveBody(status: number): boolean {
@@ -53,64 +55,64 @@
 
 /** One attempt at one target. */
 export class TargetExchange {
-	/** What came of it; never rejects. */
+	/** Never rejects. */
 	readonly outcome: Promise<AttemptOutcome>;
 	private readonly _request: ClientRequest;
 	private _resolve!: (outcome: AttemptOutcome) => void;
 	private _isSettled = false;
 	private _writtenAt: Millis | undefined;
-	/** The kept connection that the request went out on, if it was one. */
-	private _reused?: { readonly socket: Socket; readonly sentAt: Millis };
+	/** The keep-alive connection that carries the request, where one was reused. */
+	private _reusedConnection?: { readonly socket: Socket; readonly sentAt: Millis };
 	private _connectTimer?: NodeJS.Timeout;
-	/** Headers of the target's answer, once they are there. */
-	answerHeaders?: IncomingMessage['headers'];
+	/** Undefined until the response headers have arrived and belong to this request. */
+	responseHeaders?: IncomingMessage['headers'];
 
 	constructor(
 		private readonly _agent: TargetAgent,
-		private readonly _names: IHeaderNames,
-		private readonly _sent: TargetRequest
+		private readonly _headerNames: IHeaderNames,
+		private readonly _options: TargetExchangeOptions
 	) {
 		this.outcome = new Promise(resolve => (this._resolve = resolve));
-		const { host, port, method, path } = _sent;
-		const headers = _sent.rawHeaders as unknown as Record<string, string>;
+		const { host, port, method, path } = _options;
+		const headers = _options.rawHeaders as unknown as Record<string, string>;
 		this._request = httpRequest({ agent: this._agent, host, port, method, path, headers, setHost: false });
 		this._request.on('socket', socket => {
 			if (!socket.connecting) {
 				this._writtenAt = systemClock.now();
-				this._reused = { socket, sentAt: this._writtenAt };
+				this._reusedConnection = { socket, sentAt: this._writtenAt };
 				return;
 			}
 			socket.once('connect', () => this._onConnect());
 		});
-		this._connectTimer = setTimeout(() => this._onConnectTimeout(), _sent.connectTimeoutMs);
+		this._connectTimer = setTimeout(() => this._onConnectTimeout(), _options.connectTimeoutMs);
 		this._request.on('response', response => this._onResponse(response));
-		this._request.on('error', (error: NodeJS.ErrnoException) => this._onLost(error.message, error.code));
-		this._request.on('close', () => this._onLost('closed'));
-		_sent.body.writeTo(this._request);
+		this._request.on('error', (error: NodeJS.ErrnoException) => this._onConnectionLost(error.message, error.code));
+		this._request.on('close', () => this._onConnectionLost('connection closed'));
+		_options.body.writeTo(this._request);
 	}
 
-	/** When the request may have been written to the target, on the monotonic clock; undefined for not yet. */
+	/** When the request may first have been written to the target, on the monotonic clock; undefined where it was not. */
 	get writtenAt(): Millis | undefined {
 		return this._writtenAt;
 	}
 
-	/** Ends the attempt: the caller left or its time is over. */
+	/** Ends the attempt because the caller disconnected or the deadline passed. */
 	abandon(): void {
 		this._settle({ type: 'abandoned', mayHaveRun: this._writtenAt !== undefined });
 		this._request.destroy();
 	}
 
-	/** Takes the request back where nothing of it has been written: its target wants nothing more. */
-	withdraw(cause: WithdrawCause): void {
+	/** Ends the attempt as `not-run` unless its request may have been written. */
+	cancelIfUnwritten(cause: CancelCause): void {
 		if (this._writtenAt === undefined) {
 			this._settle({ type: 'not-run', hasArrived: false, cause });
 			this._request.destroy();
 		}
 	}
 
-	/** Ends the attempt: its target has started again, and knows nothing of it. */
-	lose(): void {
-		this._onLost('the target started again');
+	/** Ends the attempt because its target restarted: `broken` where the request may have been written, otherwise `not-run`. */
+	failOnTargetRestart(): void {
+		this._onConnectionLost('target restarted');
 		this._request.destroy();
 	}
 
@@ -136,52 +138,56 @@
 		this._request.destroy();
 	}
 
-	private _onLost(detail: string, code?: string): void {
-		if (this._reused && !this._isSettled && !this.answerHeaders) {
-			this._agent.noteLoss(this._reused.socket, this._sent.targetId, systemClock.now() - this._reused.sentAt);
+	private _onConnectionLost(detail: string, code?: string): void {
+		if (this._reusedConnection && !this._isSettled && !this.responseHeaders) {
+			this._agent.noteLoss(
+				this._reusedConnection.socket,
+				this._options.targetId,
+				systemClock.now() - this._reusedConnection.sentAt
+			);
 		}
 		if (this._writtenAt !== undefined) {
-			this._settle({ type: 'broken', cause: this._lossCause(code), detail });
+			this._settle({ type: 'broken', cause: this._brokenCause(code), detail });
 		} else {
 			this._settle({ type: 'not-run', hasArrived: false, cause: NotRunCause.NoConnection });
 		}
 	}
 
-	private _lossCause(code: string | undefined): BrokenCause {
-		if (code?.startsWith(PARSER_ERRORS)) {
+	private _brokenCause(code: string | undefined): BrokenCause {
+		if (code?.startsWith(PARSER_ERROR_PREFIX)) {
 			return BrokenCause.Garbled;
 		}
-		return this.answerHeaders ? BrokenCause.BrokenOff : BrokenCause.ConnectionLost;
+		return this.responseHeaders ? BrokenCause.BrokenOff : BrokenCause.ConnectionLost;
 	}
 
 	private _onResponse(response: IncomingMessage): void {
 		response.on('error', () => this._settle({ type: 'broken', cause: BrokenCause.BrokenOff }));
 		const { headers } = response;
 		const status = response.statusCode!;
-		const echo = headers[this._names.requestId];
-		const isOther = echo === undefined ? isSuccess(status) : echo !== this._sent.requestId;
-		if (isOther) {
+		const echoedId = headers[this._headerNames.requestId];
+		const isMismatched = echoedId === undefined ? isSuccess(status) : echoedId !== this._options.requestId;
+		if (isMismatched) {
 			this._settle({ type: 'broken', cause: BrokenCause.OtherAnswer });
 			this._request.destroy();
 			return;
 		}
-		this.answerHeaders = headers;
-		const word = readTargetWord(response, this._names, Date.now());
-		// Another target speaks there of itself, not of the one that was meant.
-		if (status !== STATUS_OTHER_TARGET) {
-			this._sent.onWord(word, this._writtenAt ?? Number.NEGATIVE_INFINITY);
+		this.responseHeaders = headers;
+		const report = readTargetWord(response, this._headerNames, Date.now());
+		// A 421 comes from another target at this address, so its headers describe that target.
+		if (status !== STATUS_MISDIRECTED_REQUEST) {
+			this._options.onTargetReport(report, this._writtenAt ?? Number.NEGATIVE_INFINITY);
 		}
-		if (word.isNotRun) {
+		if (report.isNotRun) {
 			response.resume();
-			this._settle({ type: 'not-run', hasArrived: true, cause: this._notRunCause(status, word) });
-			this._closeUnlessWholeSent();
+			this._settle({ type: 'not-run', hasArrived: true, cause: this._notRunCause(status, report) });
+			this._closeIfRequestIncomplete();
 			return;
 		}
-		this._hold(response, status);
+		this._bufferResponse(response, status);
 	}
 
-	private _hold(response: IncomingMessage, status: number): void {
-		// An answer without a length ends with its connection; a reset ends it too, but then it is not whole.
+	private _bufferResponse(response: IncomingMessage, status: number): void {
+		// A response without a length ends when its connection closes; a reset must count as truncation, not as the end.
 		const { socket } = response;
 		const onSocketError = (error: Error): void => void response.destroy(error);
 		socket.once('error', onSocketError);
@@ -189,18 +195,18 @@
 		const { headers, rawHeaders } = response;
 		const endsWithConnection =
 			headers['content-length'] === undefined && headers['transfer-encoding'] === undefined && mayHaveBody(status);
-		const isTooLarge = isSuccess(status) && Number(headers['content-length'] ?? 0) > this._sent.heldBytes;
-		const heldBytes = isTooLarge ? 0 : this._sent.heldBytes;
-		const pieces: Buffer[] = [];
+		const isTooLarge = isSuccess(status) && Number(headers['content-length'] ?? 0) > this._options.maxBufferedBytes;
+		const maxBufferedBytes = isTooLarge ? 0 : this._options.maxBufferedBytes;
+		const chunks: Buffer[] = [];
 		let size = 0;
-		const onData = (piece: Buffer): void => {
-			pieces.push(piece);
-			size += piece.length;
-			if (size > heldBytes) {
+		const onData = (chunk: Buffer): void => {
+			chunks.push(chunk);
+			size += chunk.length;
+			if (size > maxBufferedBytes) {
 				response.pause();
 				response.removeListener('data', onData);
 				response.removeListener('end', onEnd);
-				const body = Buffer.concat(pieces);
+				const body = Buffer.concat(chunks);
 				this._settle({ type: 'answer', status, rawHeaders, endsWithConnection, body, rest: response });
 			}
 		};
@@ -209,9 +215,9 @@
 				this._settle({ type: 'broken', cause: BrokenCause.BrokenOff });
 				return;
 			}
-			const body = Buffer.concat(pieces);
+			const body = Buffer.concat(chunks);
 			this._settle({ type: 'answer', status, rawHeaders, endsWithConnection, body });
-			this._closeUnlessWholeSent();
+			this._closeIfRequestIncomplete();
 		};
 		response.on('data', onData);
 		response.on('end', onEnd);
@@ -219,18 +225,18 @@
 
 	private _notRunCause(status: number, { load }: TargetWord): NotRunCause {
 		switch (status) {
-			case STATUS_OTHER_TARGET:
+			case STATUS_MISDIRECTED_REQUEST:
 				return NotRunCause.OtherTarget;
-			case STATUS_UNAVAILABLE:
-			case STATUS_TOO_MANY:
+			case STATUS_SERVICE_UNAVAILABLE:
+			case STATUS_TOO_MANY_REQUESTS:
 				return refusalCause(load);
 			default:
 				return NotRunCause.Refused;
 		}
 	}
 
-	/** A target that answered before it had the whole body would take what comes next for the rest of it. */
-	private _closeUnlessWholeSent(): void {
+	/** A target that responded before it had the whole request body would read the next request on the connection as part of it. */
+	private _closeIfRequestIncomplete(): void {
 		if (!this._request.writableFinished) {
 			this._request.destroy();
 		}
--- a/src/plugins/forwarding/test/lostRunWatch.test.ts
+++ b/src/plugins/forwarding/test/lostRunWatch.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Which lost connections say that a target ended, and what makes a request the same one when it comes again. */
+/** Which lost connections count as a stopped target, and which requests have the same identity. */
 
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:net';
@@ -36,15 +36,15 @@
 }
 
 function digestOf(asked: Asked): string {
-	return identityOf(journeyOf(asked)).digest;
+	return identityOf(contextOf(asked)).digest;
 }
 
-function journeyOf(asked: Asked): Journey {
+function contextOf(asked: Asked): Journey {
 	const known = { phase: QuarantinePhase.Clear, attempts: [] };
 	return { exchange: exchangeOf(asked), body: bodyOf(asked), ...known } as unknown as Journey;
 }
 
-/** Listens on loopback; resolves with the address. */
+/** Listens on the loopback interface; resolves with the address. */
 function listen(server: Server): Promise<string> {
 	return new Promise(resolve =>
 		server.listen(0, '127.0.0.1', () => resolve(`127.0.0.1:${(server.address() as { port: number }).port}`))
@@ -56,26 +56,26 @@
 	return { ...told, phase: TargetPhase.Serving, changedAt: 1, pacedSenders: [] };
 }
 
-/** The runs that count as lost with their target, given how the attempts broke. */
+/** Runs that are reported as lost after attempts that broke for these causes. */
 async function lostAt(address: string, causes: readonly BrokenCause[]): Promise<readonly SeenRun[]> {
 	const watch = new LostRunWatch(new MetricsService(), { warn: () => undefined } as unknown as ILogService);
 	const lost: SeenRun[] = [];
 	watch.onDidLose(run => lost.push(run));
 	causes.forEach(cause =>
-		watch.noteAttempt(journeyOf({}), targetAt(address), { type: 'broken', cause }, systemClock.now() - 5)
+		watch.recordAttempt(contextOf({}), targetAt(address), { type: 'broken', cause }, systemClock.now() - 5)
 	);
 	await new Promise(resolve => setTimeout(resolve, 100));
 	return lost;
 }
 
-test('a target that runs on and resets connections loses no run with it', async () => {
+test('a running target that resets connections causes no lost run', async () => {
 	const server = createServer(socket => socket.destroy());
 	const address = await listen(server);
 	assert.deepEqual(await lostAt(address, [BrokenCause.ConnectionLost, BrokenCause.BrokenOff]), []);
 	server.close();
 });
 
-test('a target that refuses connections has ended under what it was running, but not under what it garbled', async () => {
+test('runs with lost connections are lost runs if the target refuses a new connection; garbled or mismatched responses are not', async () => {
 	const server = createServer();
 	const address = await listen(server);
 	await new Promise(resolve => server.close(resolve));
@@ -91,7 +91,7 @@
 	assert.ok(lost[0]!.endedAt >= lost[0]!.sentAt + 5);
 });
 
-test('a request is the same by caller, method, host, path and body, and another one where any of them differs', () => {
+test('the identity of a request depends on API key, method, host, path and body', () => {
 	const asked = { method: 'POST', path: '/order/1?a=b', keyDigest: 'k', body: 'two units' };
 	assert.equal(digestOf(asked), digestOf({ ...asked, host: 'SHOP.example' }));
 	const others = [
--- a/src/plugins/forwarding/test/targetExchange.test.ts
+++ b/src/plugins/forwarding/test/targetExchange.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** One attempt over connections that are made up here, since a reset cannot be told from an end on every loopback. */
+/** Outcomes of one attempt. Connections are simulated, since not every loopback interface distinguishes a reset from a regular close. */
 
 import assert from 'node:assert/strict';
 import { Duplex } from 'node:stream';
@@ -29,9 +29,9 @@
 	stamp: 'stamp'
 };
 
-/** Hands out connections that a test plays the target's side of. */
+/** Creates simulated connections; `_play` acts as the target. */
 class ScriptedAgent extends TargetAgent {
-	/** @param _connecting whether its connections have not come up yet */
+	/** @param _connecting whether the connections stay unestablished */
 	constructor(
 		private readonly _play: (connection: Duplex) => void,
 		private readonly _connecting = false
@@ -53,8 +53,8 @@
 	}
 }
 
-/** What targets said of themselves, in order. */
-const words: TargetWord[] = [];
+/** What targets reported in response headers, in order. */
+const reports: TargetWord[] = [];
 
 async function startAttempt(play: (connection: Duplex) => void, connecting = false): Promise<TargetExchange> {
 	const body = await RequestBody.read({ headers: {} } as never);
@@ -68,8 +68,8 @@
 		rawHeaders: ['Request-Id', 'a'],
 		body,
 		connectTimeoutMs: 1000,
-		heldBytes: 64 * 1024,
-		onWord: word => words.push(word)
+		maxBufferedBytes: 64 * 1024,
+		onTargetReport: report => reports.push(report)
 	});
 }
 
@@ -81,7 +81,7 @@
 	return Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' });
 }
 
-test('an answer without a length is whole when its connection ends, and broken when it is reset', async () => {
+test('a response without a length is complete when its connection closes, and broken when it is reset', async () => {
 	const ended = await attempt(connection => {
 		connection.push('HTTP/1.1 200 OK\r\nRequest-Id: a\r\n\r\nhalf');
 		connection.push(null);
@@ -94,15 +94,15 @@
 	assert.equal(reset.type, 'broken');
 });
 
-test('what a target was sent before it started again may have run, though its connection says nothing', async () => {
+test('a written request is broken when its target restarts, even if its connection reports no error', async () => {
 	const sent = await startAttempt(() => undefined);
 	await new Promise(resolve => setTimeout(resolve, 10));
-	sent.lose();
+	sent.failOnTargetRestart();
 	const outcome = await sent.outcome;
 	assert.deepEqual([outcome.type, outcome.type === 'broken' && outcome.cause], ['broken', BrokenCause.ConnectionLost]);
 });
 
-test('a large answer without a length fails when its connection is reset, after its beginning was passed on', async () => {
+test('the stream of a large response without a length fails when its connection is reset', async () => {
 	const outcome = await attempt(connection => {
 		connection.push(`HTTP/1.1 200 OK\r\nRequest-Id: a\r\n\r\n${'x'.repeat(100000)}`);
 		setTimeout(() => connection.destroy(resetError()), 10);
@@ -115,7 +115,7 @@
 	assert.equal(end, 'broken');
 });
 
-test('an answer of another request, or a success without an id, is broken', async () => {
+test('a response with another request id, or a successful one without an id, is broken', async () => {
 	for (const head of ['Request-Id: b\r\n', '']) {
 		const outcome = await attempt(connection =>
 			connection.push(`HTTP/1.1 200 OK\r\n${head}Content-Length: 2\r\n\r\nok`)
@@ -124,7 +124,7 @@
 	}
 });
 
-test('a refusal by the target is not run, whatever its status', async () => {
+test('a response marked as not run is a refusal, whatever its status', async () => {
 	for (const status of ['503 Service Unavailable', '429 Too Many Requests', '400 Bad Request']) {
 		const outcome = await attempt(connection =>
 			connection.push(`HTTP/1.1 ${status}\r\nRequest-Id: a\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n`)
@@ -133,7 +133,7 @@
 	}
 });
 
-test('an answer that says it is large is passed on from its first bytes', async () => {
+test('a response with a large Content-Length is streamed from its first bytes', async () => {
 	const outcome = await attempt(connection =>
 		connection.push('HTTP/1.1 200 OK\r\nRequest-Id: a\r\nContent-Length: 100000\r\n\r\nfirst bytes')
 	);
@@ -142,7 +142,7 @@
 	outcome.rest.destroy();
 });
 
-test('a target that turns a request away is full, unless its own word says that it has room', async () => {
+test('a target that refuses a request counts as full, unless the load that it reports leaves room', async () => {
 	const causeAt = async (load: string): Promise<unknown> => {
 		const head = `HTTP/1.1 503 Service Unavailable\r\nRequest-Id: a\r\nNot-Run: 1\r\n${load}Content-Length: 0\r\n\r\n`;
 		const outcome = await attempt(connection => connection.push(head));
@@ -154,44 +154,44 @@
 	assert.equal(await causeAt(''), NotRunCause.Full);
 });
 
-test('what a target says of itself is heard with the head of its answer, whatever becomes of the answer', async () => {
+test('what a target reports in response headers is applied even if the body is truncated', async () => {
 	const answers = [
 		'HTTP/1.1 503 Service Unavailable\r\nRequest-Id: a\r\nNot-Run: 1\r\nRest: 3\r\nContent-Length: 9\r\n\r\nbro',
 		'HTTP/1.1 503 Service Unavailable\r\nRequest-Id: a\r\nRest: 3\r\nContent-Length: 9\r\n\r\nbro',
 		'HTTP/1.1 200 OK\r\nRequest-Id: a\r\nLeaving: 1\r\nContent-Length: 9\r\n\r\nbro'
 	];
 	for (const answer of answers) {
-		words.length = 0;
+		reports.length = 0;
 		await attempt(connection => {
 			connection.push(answer);
 			setTimeout(() => connection.destroy(resetError()), 5);
 		});
 		assert.deepEqual(
-			words.map(({ restMs, isLeaving }) => restMs === 3000 || isLeaving),
+			reports.map(({ restMs, isLeaving }) => restMs === 3000 || isLeaving),
 			[true]
 		);
 	}
 });
 
-test('what stands in an answer of another target, or to another request, is not heard', async () => {
-	words.length = 0;
+test('headers in a response of another target, or to another request, are ignored', async () => {
+	reports.length = 0;
 	for (const head of ['421 Misdirected Request\r\nRequest-Id: a', '503 Service Unavailable\r\nRequest-Id: b']) {
 		await attempt(connection =>
 			connection.push(`HTTP/1.1 ${head}\r\nLeaving: 1\r\nRest: 3\r\nContent-Length: 0\r\n\r\n`)
 		);
 	}
-	assert.deepEqual(words, []);
+	assert.deepEqual(reports, []);
 });
 
-test('a request is taken back, as not run, until its connection is up, and not afterwards', async () => {
+test('a request can be cancelled as not run until its connection is established, and not afterwards', async () => {
 	const waiting = await startAttempt(() => undefined, true);
-	waiting.withdraw(NotRunCause.AtRest);
+	waiting.cancelIfUnwritten(NotRunCause.AtRest);
 	assert.deepEqual(await waiting.outcome, { type: 'not-run', hasArrived: false, cause: NotRunCause.AtRest });
 	assert.equal(waiting.writtenAt, undefined);
 	const written = await startAttempt(connection =>
 		connection.push('HTTP/1.1 200 OK\r\nRequest-Id: a\r\nContent-Length: 2\r\n\r\nok')
 	);
 	await new Promise(resolve => setImmediate(resolve));
-	written.withdraw(NotRunCause.AtRest);
+	written.cancelIfUnwritten(NotRunCause.AtRest);
 	assert.equal((await written.outcome).type, 'answer');
 });
