--- a/src/plugins/forwarding/node/journey.ts
+++ b/src/plugins/forwarding/node/journey.ts
@@ -71,7 +71,7 @@
 	return outcome.type === 'abandoned' ? outcome.mayHaveRun : outcome.type !== 'not-run';
 }
 
-/** The type of an outcome with its cause, for logs and metrics: `type` or `type: cause`. */
+/** The type of an outcome with its status or cause, for logs; the part before the colon is a metric label. */
 export function describeOutcome(outcome: AttemptOutcome): string {
 	switch (outcome.type) {
 		case 'answer':
--- a/src/plugins/forwarding/node/requestBody.ts
+++ b/src/plugins/forwarding/node/requestBody.ts
@@ -55,7 +55,7 @@
 		});
 	}
 
-	/** Whether the body can be sent: always for a buffered one, once for a streamed one. */
+	/** Whether the body can be sent: always for a buffered one, only until {@link writeTo} was called for a streamed one. */
 	get canBeSent(): boolean {
 		return !this._isConsumed;
 	}
--- a/src/plugins/forwarding/node/retryPolicy.ts
+++ b/src/plugins/forwarding/node/retryPolicy.ts
@@ -74,7 +74,7 @@
 			: { status: 502, verdict: 'may-have-run', reason: RefusalReason.TargetFailed };
 	}
 
-	/** Whether a target's error response may be discarded and the request sent to another target; takes a retry from the retry budget. */
+	/** Whether a target's error response may be discarded and the request sent to another target; takes a retry from the budget if so. */
 	private _mayRetryResponse(context: Journey, response: TargetAnswer): boolean {
 		if (!isFailure(response) || response.rest || context.route.repeatRule === RepeatRule.AtMostOnce) {
 			return false;
@@ -117,7 +117,7 @@
 		return unavailableResponse(reason, Math.max(SHORT_RETRY_AFTER_MS, retryAfterMs));
 	}
 
-	/** Takes one retry from the retry budget; false where the request may not be retried or the budget is used up. */
+	/** Takes one retry from the budget; false where the request may not be retried or the budget is used up. */
 	private _acquireRetry(context: Journey): boolean {
 		return (
 			context.possibleRuns < context.route.attempts &&
