--- a/src/plugins/forwarding/common/attempt.ts
+++ b/src/plugins/forwarding/common/attempt.ts
@@ -2,83 +2,83 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What came of sending a request to one target. */
+/** Outcomes of sending a request to one target. */
 
 import type { Readable } from 'node:stream';
 
-/** Headers as name and value in turn, as they stood on the wire. */
+/** Alternating header names and values, as received (see `IncomingMessage.rawHeaders`). */
 export type RawHeaders = readonly string[];
 
-/** A whole answer, or its beginning with the rest to come. */
+/** A response of the target: either complete, or its beginning with the remaining body as a stream. */
 export interface TargetAnswer {
 	readonly type: 'answer';
 	readonly status: number;
 	readonly rawHeaders: RawHeaders;
 	/**
-	 * Whether the answer has no length and ends with its connection. It is passed on in the same way: nobody can tell
-	 * whether it was whole, so it must not be framed as if it were.
+	 * Whether the end of the body is marked by closing the connection (RFC 9112, section 6.3). Such a response is forwarded
+	 * in the same way: truncation can't be detected, so adding a length or chunked framing would present it as complete.
 	 */
 	readonly endsWithConnection: boolean;
-	/** The body, or its beginning. */
+	/** The complete body, or its first bytes if the remaining body is streamed. */
 	readonly body: Buffer;
-	/** The rest of the body; absent when `body` is all of it. It fails when the target breaks off. */
+	/** The remaining body; undefined if `body` is complete. Emits an error if the target closes the connection early. */
 	readonly rest?: Readable;
 }
 
-/** Certain not to have run: never written, or refused by the target. */
+/** The request was certainly not executed: it was never written, or the target refused it. */
 export interface NotRun {
 	readonly type: 'not-run';
-	/** Whether it reached the target, which turned it away. */
+	/** Whether the request reached the target, which refused it. */
 	readonly hasArrived: boolean;
 	readonly cause: NotRunCause;
 }
 
-/** Why a target did not run a request. */
+/** Why a target did not execute a request. */
 export enum NotRunCause {
-	/** No connection came up. */
+	/** No connection could be established. */
 	NoConnection = 'no-connection',
-	/** The target is full or its queue is too long. */
+	/** The target refused the request because all its slots are in use or its queue is too long. */
 	Full = 'full',
-	/** The target turned it away though it has room by its own word. */
+	/** The target refused the request although it reported free slots. */
 	Shed = 'shed',
-	/** Another target has the address now. */
+	/** The address now belongs to another target. */
 	OtherTarget = 'other-target',
-	/** The target said that it wants nothing more before the request was written to it. */
+	/** The target asked for backoff, or announced its shutdown, before the request was written to it. */
 	AtRest = 'at-rest',
-	/** All instances together send the target what it takes, or its word on that came before the request was written. */
+	/** The rate limit of the target leaves no permit, or became known before the request was written to it. */
 	AtLimit = 'at-limit',
-	/** This instance's part of the connections that the target accepts is in use. */
+	/** This instance's share of the connections that the target accepts is in use. */
 	ConnectionsInUse = 'connections-in-use',
 	/** Any other refusal by the target. */
 	Refused = 'refused'
 }
 
-/** Why an attempt that may have run has no whole answer of its own. */
+/** Why a request that may have been executed has no complete response of its own. */
 export enum BrokenCause {
-	/** The connection ended before any answer came. */
+	/** The connection was lost before a response was received. */
 	ConnectionLost = 'connection-lost',
-	/** The connection ended in the middle of the answer. */
+	/** The connection was lost before the response was complete. */
 	BrokenOff = 'broken-off',
-	/** What came belongs to another request. */
+	/** The response belongs to another request. */
 	OtherAnswer = 'other-answer',
-	/** What came is not HTTP. */
+	/** The received data is not valid HTTP. */
 	Garbled = 'garbled'
 }
 
-/** It may have run; its answer is missing, broken or another request's. */
-export interface Broken {
+/** The request may have been executed, but its response is missing, incomplete, malformed or that of another request. */
+export interface ResponseFailure {
 	readonly type: 'broken';
 	readonly cause: BrokenCause;
-	/** What the connection said, for the log. */
+	/** Error reported by the connection, for the log. */
 	readonly detail?: string;
 }
 
-/** The attempt was ended by this system: the caller left, or its time is over. */
+/** The attempt was cancelled by this instance: the caller disconnected, or its deadline has passed. */
 export interface Abandoned {
 	readonly type: 'abandoned';
 	/** Whether the request may have reached the target. */
 	readonly mayHaveRun: boolean;
 }
 
-/** Any outcome of one attempt. */
-export type AttemptOutcome = TargetAnswer | NotRun | Broken | Abandoned;
+/** Outcome of one attempt. */
+export type AttemptOutcome = TargetAnswer | NotRun | ResponseFailure | Abandoned;
--- a/src/plugins/forwarding/common/frontSettings.ts
+++ b/src/plugins/forwarding/common/frontSettings.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Section `[front]`: where callers come in, and how much the link to them bears. */
+/** Section `[front]`: listening addresses of an entry instance, and the bandwidth of its link. */
 
 import { ProcessKind } from '../../../kernel/common/pluginRegistry.js';
 import {
@@ -17,7 +17,7 @@
 	readonly callerAddress: string;
 	readonly readyAddress: string;
 	readonly maxConnections: number;
-	/** Megabits a second of the instance's link, in one direction. */
+	/** Bandwidth of the instance's network link in one direction, in Mbit/s. */
 	readonly linkMbit: number;
 }
 
@@ -25,18 +25,18 @@
 	name: 'front',
 	named: false,
 	kinds: [ProcessKind.Entry],
-	description: 'Where callers and checks of readiness come in.',
+	description: 'Listening addresses for callers and health checks, and bounds on their traffic.',
 	keys: {
-		callerAddress: { schema: addressSchema, description: 'IPv4 address and port for requests of callers.' },
+		callerAddress: { schema: addressSchema, description: 'IPv4 address and port for caller requests.' },
 		readyAddress: { schema: addressSchema, description: 'IPv4 address and port for /readyz, /healthz and /metrics.' },
 		maxConnections: {
 			schema: integerSchema(1, 100000),
-			description: 'Most connections of callers at once, 1 to 100000.',
+			description: 'Maximum number of concurrent caller connections, 1 to 100000.',
 			default: '3000'
 		},
 		linkMbit: {
 			schema: numberSchema(0.1, 1000000),
-			description: 'Megabits a second of the link of the instance, 0.1 to 1000000; large answers leave room on it.',
+			description: 'Bandwidth of the network link in Mbit/s, 0.1 to 1000000; large responses are paced to fit it.',
 			default: '1000'
 		}
 	}
--- a/src/plugins/forwarding/common/headerNames.ts
+++ b/src/plugins/forwarding/common/headerNames.ts
@@ -2,37 +2,37 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The names of the headers that callers, this system and targets use; whoever adapts the product provides them. */
+/** Names of the HTTP headers exchanged with callers and targets. They are provided by the platform integration. */
 
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 
-/** Header names; those that are looked up in answers are in lower case. */
+/** Header names; those that are looked up in responses must be in lower case. */
 export interface IHeaderNames {
-	/** Identifies one try of a caller; targets echo it. */
+	/** Unique id of one request of a caller; targets echo it in the response. */
 	readonly requestId: string;
-	/** Milliseconds that the caller, or this system, will wait. */
+	/** Remaining time until the sender's deadline, in milliseconds. */
 	readonly remainingMs: string;
-	/** Cookie with the object that a request is about. */
+	/** Name of the cookie that holds the key of the object that a request accesses. */
 	readonly objectCookie: string;
-	/** The key by which a caller shows for which team it asks; it stays here. */
+	/** API key that identifies the caller's team; it is not forwarded to targets. */
 	readonly teamKey: string;
-	/** The team on whose behalf a request is sent to a target; what the caller wrote there does not count. */
+	/** Team on whose behalf a request is forwarded to a target; a value sent by the caller is dropped. */
 	readonly team: string;
-	/** The target that a request is meant for. */
+	/** Id of the target that a forwarded request is addressed to. */
 	readonly expectedTarget: string;
-	/** In an answer: the target did not run the request. */
+	/** Response header: present if the target did not execute the request. */
 	readonly notRun: string;
-	/** In an answer: requests running, requests waiting and slots, parted by commas. */
+	/** Response header: number of running requests, waiting requests and slots, separated by commas. */
 	readonly load: string;
-	/** In an answer that turns the request away: seconds, or a date, until which the target wants nothing more from the asker. */
+	/** Header of a 429 or 503 response: seconds, or an HTTP date, until which the sender must not send further requests. */
 	readonly rest: string;
-	/** In any answer of a target that ends soon: `1`. */
+	/** Response header: `1` if the target is shutting down. */
 	readonly leaving: string;
-	/** In any answer: the requests a second that the target takes from all instances together; a decimal number. */
+	/** Response header: rate limit of the target for all instances together, in requests per second; a decimal number. */
 	readonly limit: string;
-	/** In an answer: proof of which target gave it. */
+	/** Response header: identifies the target that produced the response. */
 	readonly stamp: string;
 }
 
-/** Identifier of the header names. */
+/** Service identifier of the header names. */
 export const IHeaderNames = createServiceIdentifier<IHeaderNames>('headerNames');
--- a/src/plugins/forwarding/common/hopHeaders.ts
+++ b/src/plugins/forwarding/common/hopHeaders.ts
@@ -2,11 +2,11 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Headers that concern one connection only and are not passed on (RFC 9110, section 7.6.1). */
+/** Handling of hop-by-hop headers, which must not be forwarded (RFC 9110, section 7.6.1). */
 
 import type { RawHeaders } from './attempt.js';
 
-const HOP_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
 	'connection',
 	'keep-alive',
 	'proxy-connection',
@@ -18,15 +18,15 @@
 	'upgrade'
 ]);
 
-/** Calls back for each header, as name in lower case, name as written, and value. */
+/** Calls `visit` for each header with its name in lower case, its name as received, and its value. */
 export function forEachHeader(raw: RawHeaders, visit: (lower: string, name: string, value: string) => void): void {
 	for (let i = 0; i + 1 < raw.length; i += 2) {
 		visit(raw[i]!.toLowerCase(), raw[i]!, raw[i + 1]!);
 	}
 }
 
-/** Names listed in the `Connection` headers. */
-function namedByConnection(raw: RawHeaders): Set<string> {
+/** Header names listed in the `Connection` headers, in lower case. */
+function connectionOptions(raw: RawHeaders): Set<string> {
 	const named = new Set<string>();
 	forEachHeader(raw, (lower, _name, value) => {
 		if (lower === 'connection') {
@@ -37,21 +37,21 @@
 }
 
 /**
- * The headers to pass on, name and value in turn.
- * @param dropped names in lower case that are left out too
+ * The headers to forward, as alternating names and values.
+ * @param dropped names in lower case of further headers to remove
  */
 export function passedHeaders(raw: RawHeaders, dropped: ReadonlySet<string>): string[] {
-	const named = namedByConnection(raw);
-	const passed: string[] = [];
+	const connectionNames = connectionOptions(raw);
+	const forwarded: string[] = [];
 	forEachHeader(raw, (lower, name, value) => {
-		if (!HOP_HEADERS.has(lower) && !named.has(lower) && !dropped.has(lower)) {
-			passed.push(name, value);
+		if (!HOP_BY_HOP_HEADERS.has(lower) && !connectionNames.has(lower) && !dropped.has(lower)) {
+			forwarded.push(name, value);
 		}
 	});
-	return passed;
+	return forwarded;
 }
 
-/** The value of one cookie. */
+/** The value of the first cookie with the given name; undefined if there is none. */
 export function cookieValue(raw: RawHeaders, cookie: string): string | undefined {
 	let found: string | undefined;
 	forEachHeader(raw, (lower, _name, value) => {
--- a/src/plugins/forwarding/common/largeAnswerGate.ts
+++ b/src/plugins/forwarding/common/largeAnswerGate.ts
@@ -3,54 +3,55 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Admits requests with large answers only as far as this instance's link can carry them in time: beyond that they would
- * all be late, and the link would be full for everything else. One that is refused is tried at another instance.
+ * Limits the large responses in progress to what this instance's link can transfer within their latency objective. Beyond
+ * that all of them would miss it, and the link would be saturated for other traffic. A refused request is retried at another
+ * instance.
  */
 
 import type { Route } from '../../routes/common/routeTable.js';
-import { largeBytesPerMs } from './linkPacer.js';
+import { largeResponseBytesPerMs } from './linkPacer.js';
 
 /**
- * Answers under way may fill the link for this many times the objective of their route: most of them are still being
- * worked on at a target and do not need it yet.
+ * Admitted responses may add up to this many times the bytes that the link transfers within the objective of the route:
+ * most of them are still being produced by a target and do not use the link yet.
  */
-const OBJECTIVES_AHEAD = 1.6;
-/** Weight of the latest answer in the expected size. */
-const SIZE_WEIGHT = 0.1;
+const MAX_COMMITTED_OBJECTIVES = 1.6;
+/** Smoothing factor of the average response size. */
+const SIZE_SMOOTHING = 0.1;
 
-/** The large answers that are under way through this instance. */
+/** Admission control for large responses that pass through this instance. */
 export class LargeAnswerGate {
 	private readonly _bytesPerMs: number;
-	private readonly _sizes = new Map<string, number>();
-	private _expectedBytes = 0;
+	private readonly _averageBytes = new Map<string, number>();
+	private _admittedBytes = 0;
 
-	/** @param linkMbit megabits a second of the link, in one direction */
+	/** @param linkMbit bandwidth of the link in one direction, in Mbit/s */
 	constructor(linkMbit: number) {
-		this._bytesPerMs = largeBytesPerMs(linkMbit);
+		this._bytesPerMs = largeResponseBytesPerMs(linkMbit);
 	}
 
 	/**
-	 * Whether one more request of a route may come; the first one always may.
-	 * @returns the bytes to give back with {@link release}, or undefined when there is no room
+	 * Admits a request of a route if its expected response fits. A request is always admitted if the sum is zero.
+	 * @returns the expected bytes, to be passed to {@link release}; undefined if the request is not admitted
 	 */
 	admit(route: Route): number | undefined {
-		const size = this._sizes.get(route.name) ?? 0;
-		const room = this._bytesPerMs * route.objectiveMs * OBJECTIVES_AHEAD;
-		if (this._expectedBytes > 0 && this._expectedBytes + size > room) {
+		const expectedBytes = this._averageBytes.get(route.name) ?? 0;
+		const capacityBytes = this._bytesPerMs * route.objectiveMs * MAX_COMMITTED_OBJECTIVES;
+		if (this._admittedBytes > 0 && this._admittedBytes + expectedBytes > capacityBytes) {
 			return undefined;
 		}
-		this._expectedBytes += size;
-		return size;
+		this._admittedBytes += expectedBytes;
+		return expectedBytes;
 	}
 
-	/** A request that was admitted has ended. */
+	/** Must be called with the result of {@link tryAdmit} when an admitted request has ended. */
 	release(bytes: number): void {
-		this._expectedBytes -= bytes;
+		this._admittedBytes -= bytes;
 	}
 
-	/** An answer of a route had this many bytes. */
+	/** Updates the average response size of a route. */
 	noteSize(route: Route, bytes: number): void {
-		const size = this._sizes.get(route.name) ?? bytes;
-		this._sizes.set(route.name, size + (bytes - size) * SIZE_WEIGHT);
+		const averageBytes = this._averageBytes.get(route.name) ?? bytes;
+		this._averageBytes.set(route.name, averageBytes + (bytes - averageBytes) * SIZE_SMOOTHING);
 	}
 }
--- a/src/plugins/forwarding/common/requestTrace.ts
+++ b/src/plugins/forwarding/common/requestTrace.ts
@@ -2,73 +2,73 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What was decided about one request, kept while it is on its way and logged when its end needs explaining. */
+/** Routing decisions for one request, collected while it is processed, and sampling of the log lines that show them. */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** A target that was passed over, since it wants to be left alone or is at its limit. */
+/** A target that was skipped because it asked for backoff or has reached its rate limit. */
 export interface PassedTarget {
 	readonly target: string;
-	/** For how much longer it wants to be left alone, in milliseconds; undefined where it does not. */
+	/** Remaining time of its backoff in milliseconds; undefined if it was not skipped for that reason. */
 	readonly restLeftMs?: number;
-	/** Requests a second that it takes from all instances together; undefined where that is not what was in the way. */
+	/** Its rate limit for all instances together, in requests per second; undefined if it was not skipped for that reason. */
 	readonly limitPerSecond?: number;
 }
 
-/** One attempt: what was known when the target was chosen, and what came of it. */
+/** One attempt: the state of the target when it was selected, and the outcome. */
 export interface AttemptTrace {
 	readonly target: string;
 	readonly region: string;
-	/** Region that the shares gave the request; undefined where none did. */
+	/** Region selected by the region shares; undefined if they selected none. */
 	readonly firstRegion: string | undefined;
-	/** Milliseconds from the arrival of the request to the choice. */
+	/** Time from the arrival of the request to the selection of the target, in milliseconds. */
 	readonly atMs: number;
-	/** Requests at the target, as far as known. */
+	/** Estimated number of requests at the target, those of other instances included. */
 	readonly load: number;
 	readonly slots: number;
 	readonly isCold: boolean;
-	/** The target that the object belongs to, where that one could not be used. */
+	/** The preferred target of the object, if it was skipped. */
 	readonly passedOver: PassedTarget | undefined;
-	/** Outcome, with its cause where there is one. */
+	/** Outcome, followed by its cause if it has one. */
 	outcome: string;
 	tookMs: number;
 }
 
-/** Lines a second that requests may log, and how many may come at once. */
-const LINES_PER_SECOND = 40;
-const BURST = 120;
-/** One in this many requests that went as they should is logged too. */
-const SAMPLE = 200;
+/** Rate limit of sampled log lines, as a token bucket. */
+const MAX_LINES_PER_SECOND = 40;
+const MAX_BURST_LINES = 120;
+/** One in this many routine requests is logged. */
+const ROUTINE_SAMPLE_INTERVAL = 200;
 
-/** Decides which requests are logged, so that the volume stays bounded under load. */
+/** Samples and rate-limits log lines to bound their volume under load. */
 export class TraceSampler {
-	private _tokens = BURST;
+	private _tokens = MAX_BURST_LINES;
 	private _refilledAt: Millis = 0;
-	private _served = 0;
-	private _leftOut = 0;
+	private _routineRequests = 0;
+	private _dropped = 0;
 
 	/**
-	 * Whether to log a request.
-	 * @param isPlain whether it went as it should, at the first attempt
+	 * Whether to log an event; consumes a token if so.
+	 * @param isRoutine whether nothing is unusual about the event, so that only a sample of its kind is logged
 	 */
-	admits(isPlain: boolean, now: Millis): boolean {
-		if (isPlain && this._served++ % SAMPLE !== 0) {
+	admits(isRoutine: boolean, now: Millis): boolean {
+		if (isRoutine && this._routineRequests++ % ROUTINE_SAMPLE_INTERVAL !== 0) {
 			return false;
 		}
-		this._tokens = Math.min(BURST, this._tokens + ((now - this._refilledAt) / 1000) * LINES_PER_SECOND);
+		this._tokens = Math.min(MAX_BURST_LINES, this._tokens + ((now - this._refilledAt) / 1000) * MAX_LINES_PER_SECOND);
 		this._refilledAt = now;
 		if (this._tokens < 1) {
-			this._leftOut++;
+			this._dropped++;
 			return false;
 		}
 		this._tokens--;
 		return true;
 	}
 
-	/** Requests that would have been logged but for the bound, since the last call. */
+	/** Number of lines dropped by the rate limit since the last call. */
 	takeLeftOut(): number {
-		const count = this._leftOut;
-		this._leftOut = 0;
+		const count = this._dropped;
+		this._dropped = 0;
 		return count;
 	}
 }
--- a/src/plugins/forwarding/common/retryAllowance.ts
+++ b/src/plugins/forwarding/common/retryAllowance.ts
@@ -3,53 +3,56 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * This instance's part of the retries that all instances together may make at a service: a part of its own first tries in
- * a window, and its part of a fixed slack. A part is safe by itself: it needs no word from any other instance.
+ * Limits the retries of this instance at a service, so that all instances together stay within a shared limit. An instance
+ * may make a fraction of its own first attempts in a window as retries, and uses its share of a fixed slack. No coordination
+ * with other instances is needed.
  */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** Bounds of the sum over all instances. */
-export interface RetryBounds {
-	/** Retries allowed for each first try. */
+/** Limits on the retries of all instances together. */
+export interface RetryLimits {
+	/** Retries allowed per first attempt. */
 	readonly ratio: number;
 	readonly windowMs: Millis;
-	/** Retries allowed beyond that in a window. */
+	/** Additional retries allowed per window. */
 	readonly slack: number;
 }
 
 /**
- * Part of the retries by first tries that is used. Each instance counts its own, so no view of others can break the sum; the
- * rest covers windows that begin within a bucket, a tenth of the window.
+ * Fraction of the ratio that is used. The remainder is a margin for windows that begin within a bucket, which is a tenth of
+ * the window. Each instance counts its own first attempts, so the sum does not depend on the known number of instances.
  */
-const USED_RATIO = 0.85;
-/** Part of the slack that is used; the rest is for instances that start while others still count themselves fewer. */
-const USED_SLACK = 0.7;
+const RATIO_SAFETY_FACTOR = 0.85;
+/** Fraction of the slack that is used. The remainder covers instances that others don't know about yet. */
+const SLACK_SAFETY_FACTOR = 0.7;
 const BUCKETS = 10;
 
-/** Counts first tries and retries of one service. */
+/** Retry budget of this instance for one service, over a sliding window. */
 export class RetryAllowance {
-	private readonly _firstTries = new Array<number>(BUCKETS).fill(0);
+	private readonly _firstAttempts = new Array<number>(BUCKETS).fill(0);
 	private readonly _retries = new Array<number>(BUCKETS).fill(0);
 	private _bucket = 0;
 
-	constructor(private readonly _bounds: RetryBounds) {}
+	constructor(private readonly _limits: RetryLimits) {}
 
-	/** A request went to its first target. */
+	/** Records that a request was sent to its first target. */
 	noteFirstTry(now: Millis): void {
 		this._advance(now);
-		this._firstTries[this._bucket % BUCKETS]!++;
+		this._firstAttempts[this._bucket % BUCKETS]!++;
 	}
 
 	/**
-	 * Takes leave for one retry.
-	 * @param entryCount instances that share the slack; infinite where it is not known, which leaves none of it
+	 * Consumes one retry from the budget.
+	 * @param entryCount number of instances that share the slack; infinite if unknown, in which case no slack is available
+	 * @returns false if the budget is exhausted
 	 */
 	take(entryCount: number, now: Millis): boolean {
 		this._advance(now);
-		const firstTries = sum(this._firstTries);
-		const { ratio, slack } = this._bounds;
-		const allowed = USED_RATIO * ratio * firstTries + (USED_SLACK * slack) / Math.max(1, entryCount);
+		const firstAttempts = sum(this._firstAttempts);
+		const { ratio, slack } = this._limits;
+		const allowed =
+			RATIO_SAFETY_FACTOR * ratio * firstAttempts + (SLACK_SAFETY_FACTOR * slack) / Math.max(1, entryCount);
 		if (sum(this._retries) + 1 > allowed) {
 			return false;
 		}
@@ -58,10 +61,10 @@
 	}
 
 	private _advance(now: Millis): void {
-		const bucket = Math.floor(now / (this._bounds.windowMs / BUCKETS));
-		const passed = Math.min(BUCKETS, bucket - this._bucket);
-		for (let i = 1; i <= passed; i++) {
-			this._firstTries[(this._bucket + i) % BUCKETS] = 0;
+		const bucket = Math.floor(now / (this._limits.windowMs / BUCKETS));
+		const elapsedBuckets = Math.min(BUCKETS, bucket - this._bucket);
+		for (let i = 1; i <= elapsedBuckets; i++) {
+			this._firstAttempts[(this._bucket + i) % BUCKETS] = 0;
 			this._retries[(this._bucket + i) % BUCKETS] = 0;
 		}
 		this._bucket = Math.max(bucket, this._bucket);
--- a/src/plugins/forwarding/common/serviceBounds.ts
+++ b/src/plugins/forwarding/common/serviceBounds.ts
@@ -2,20 +2,20 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Bounds that the surroundings set for all instances together. */
+/** Limits that the platform imposes on all instances together. */
 
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
-import type { RetryBounds } from './retryAllowance.js';
+import type { RetryLimits } from './retryAllowance.js';
 import type { ShiftBounds } from './placement/sharePacer.js';
 
-/** The bounds in force. */
+/** Limits of the platform. */
 export interface IServiceBounds {
-	readonly retries: RetryBounds;
+	readonly retries: RetryLimits;
 	readonly shifts: ShiftBounds;
-	/** Time from a planned stop's signal to its forced end. */
+	/** Time from the signal of a planned shutdown until the process is killed. */
 	readonly stopGraceMs: Millis;
 }
 
-/** Identifier of the bounds. */
+/** Service identifier of the platform limits. */
 export const IServiceBounds = createServiceIdentifier<IServiceBounds>('serviceBounds');
--- a/src/plugins/forwarding/test/linkPacer.test.ts
+++ b/src/plugins/forwarding/test/linkPacer.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Large answers leave room on the link, and arrive whole. */
+/** Large responses must not saturate the link, and must be transferred completely. */
 
 import assert from 'node:assert/strict';
 import { pipeline } from 'node:stream/promises';
@@ -14,27 +14,27 @@
 import { LinkScheduler } from '../node/linkScheduler.js';
 import { PacedBody } from '../node/pacedBody.js';
 
-test('two large answers together leave a tenth of the link, but for a moment at their beginning', () => {
+test('two concurrent large responses leave a tenth of the link free after an initial burst', () => {
 	const pacer = new LinkPacer(8);
 	let now = 1000;
-	const passedUntil = (end: number): number => {
-		let passed = 0;
+	const bytesSentUntil = (end: number): number => {
+		let sent = 0;
 		while (now < end) {
 			const waits = [pacer.reserve(4000, now), pacer.reserve(4000, now)];
-			passed += 8000;
+			sent += 8000;
 			now += Math.max(...waits);
 		}
-		return passed;
+		return sent;
 	};
-	const first = passedUntil(2000);
+	const first = bytesSentUntil(2000);
 	assert.ok(first > 970000 && first < 1025000, `${first} bytes in the first second of a link of 1000000`);
 	for (let second = 2; second < 5; second++) {
-		const passed = passedUntil(1000 * (second + 1));
-		assert.ok(passed > 885000 && passed < 915000, `${passed} bytes in a later second`);
+		const sent = bytesSentUntil(1000 * (second + 1));
+		assert.ok(sent > 885000 && sent < 915000, `${sent} bytes in a later second`);
 	}
 });
 
-test('a lone large answer has the whole link, also where timers fire late', () => {
+test('a single large response uses the whole link, even if timers fire late', () => {
 	const pacer = new LinkPacer(2);
 	const bytes = 90000;
 	let now = 1000;
@@ -46,17 +46,17 @@
 	assert.ok(now - 1000 < 1.05 * linkMs, `${now - 1000} ms, the link needs ${linkMs}`);
 });
 
-test('on a fast link nothing waits', () => {
+test('a chunk is not delayed on a fast link', () => {
 	const pacer = new LinkPacer(1000);
 	assert.equal(pacer.reserve(PACED_PIECE_BYTES, 5), 0);
 });
 
-test('a slow link holds less of an answer before it is passed on', () => {
+test('less of a response is buffered before it is forwarded on a slow link', () => {
 	assert.equal(heldBytes(1000), 64 * 1024);
 	assert.equal(heldBytes(1), 16 * 1024);
 });
 
-test('requests with large answers are admitted as far as the link carries them within their objective', () => {
+test('requests with large responses are admitted as far as the link can transfer them within their objective', () => {
 	const gate = new LargeAnswerGate(8);
 	const route = { name: 'files', objectiveMs: 420 } as Route;
 	const first = gate.admit(route)!;
@@ -68,7 +68,7 @@
 	assert.equal(gate.admit(route), 200000);
 });
 
-test('a single large answer is admitted however slow the link', () => {
+test('a single large response is admitted on any link', () => {
 	const gate = new LargeAnswerGate(0.1);
 	const route = { name: 'files', objectiveMs: 500 } as Route;
 	gate.noteSize(route, 200000);
@@ -76,30 +76,30 @@
 	assert.equal(gate.admit(route), undefined);
 });
 
-test('the oldest body goes first, whatever comes after it', async () => {
+test('chunks of the oldest body are sent first', async () => {
 	const scheduler = new LinkScheduler(new LinkPacer(8));
 	const orders = [scheduler.nextOrder(), scheduler.nextOrder()] as const;
-	const passed: number[] = [];
+	const sent: number[] = [];
 	await new Promise<void>(resolve => {
-		const note = (order: number): void => {
-			passed.push(order);
-			if (passed.length === 5) {
+		const onSent = (order: number): void => {
+			sent.push(order);
+			if (sent.length === 5) {
 				resolve();
 			}
 		};
 		for (const order of [orders[1], orders[1], orders[0], orders[1], orders[0]]) {
-			scheduler.request(order, 4000, () => note(order));
+			scheduler.request(order, 4000, () => onSent(order));
 		}
 	});
-	assert.deepEqual(passed, [orders[1], orders[0], orders[0], orders[1], orders[1]]);
+	assert.deepEqual(sent, [orders[1], orders[0], orders[0], orders[1], orders[1]]);
 });
 
-test('a paced body passes whole, in small pieces', async () => {
+test('a paced body is forwarded completely, in small chunks', async () => {
 	const sent = Buffer.from(Array.from({ length: 50000 }, (_, i) => i % 251));
-	const pieces: Buffer[] = [];
+	const chunks: Buffer[] = [];
 	const sink = new Writable({
-		write: (piece: Buffer, _encoding, done) => {
-			pieces.push(piece);
+		write: (chunk: Buffer, _encoding, done) => {
+			chunks.push(chunk);
 			done();
 		}
 	});
@@ -108,6 +108,6 @@
 		new PacedBody(new LinkScheduler(new LinkPacer(8))),
 		sink
 	);
-	assert.deepEqual(Buffer.concat(pieces), sent);
-	assert.ok(pieces.every(piece => piece.length <= PACED_PIECE_BYTES));
+	assert.deepEqual(Buffer.concat(chunks), sent);
+	assert.ok(chunks.every(chunk => chunk.length <= PACED_PIECE_BYTES));
 });
