--- a/src/plugins/forwarding/common/targets/targetHealth.ts
+++ b/src/plugins/forwarding/common/targets/targetHealth.ts
@@ -3,110 +3,115 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Whether a target should be left alone for a while, by the requests that were sent to it (passive outlier detection).
- * One lost answer says little and moving an object is dear, so it takes a share of failures; that no connection comes up
- * says enough at once.
+ * Passive outlier detection: ejects a target for a while, based on the outcomes of the requests that were sent to it. As
+ * moving objects to other targets is expensive, a single failed request does not eject a target, but a failure rate does. A
+ * failed connection ejects it at once.
  */
 
 import type { Millis } from '../../../../base/clock.js';
 
-const FIRST_SUSPICION_MS = 400;
-const LONGEST_SUSPICION_MS = 4000;
+const BASE_EJECTION_MS = 400;
+const MAX_EJECTION_MS = 4000;
 const MAX_DOUBLINGS = 4;
-/** Weight of the latest request in the share of failures. */
-const FAILURE_WEIGHT = 0.3;
-/** Share of failures from which a target is left alone: two in a row reach it. */
-const SUSPECT_SHARE = 0.45;
-/** Share that a target has when it is tried again: one more failure is enough. */
-const SHARE_ON_TRIAL = 0.3;
-/** Weight of the latest answer in a target's usual time. */
-const TIME_WEIGHT = 0.4;
-/** A target that takes this many times what its service takes is slow. */
+/** Smoothing factor of the failure rate. */
+const FAILURE_SMOOTHING = 0.3;
+/** Failure rate from which a target is ejected; two consecutive failures reach it. */
+const EJECTION_FAILURE_RATE = 0.45;
+/** Failure rate after an ejection; one more failure ejects the target again. */
+const PROBATION_FAILURE_RATE = 0.3;
+/** Smoothing factor of the average response time. */
+const RESPONSE_TIME_SMOOTHING = 0.4;
+/** A target is slow if its response time exceeds that of its service by this factor. */
 const SLOW_FACTOR = 2.5;
-const LEAST_ANSWERS = 3;
+/** Minimum number of responses before a target is ejected as slow. */
+const MIN_RESPONSES = 3;
 
-/** What the requests of this instance say of one target. */
+/** Health of one target, as observed by the requests of this instance. */
 export class TargetHealth {
-	private _failureShare = 0;
-	private _suspicions = 0;
-	private _suspectUntil: Millis = Number.NEGATIVE_INFINITY;
-	private _usualMs: Millis = 0;
-	private _answers = 0;
-	/** Since the latest suspicion no answer has shown that the target is well. */
-	private _isOnTrial = false;
+	private _failureRate = 0;
+	private _consecutiveEjections = 0;
+	private _ejectedUntil: Millis = Number.NEGATIVE_INFINITY;
+	private _averageResponseMs: Millis = 0;
+	private _responsesSinceEjection = 0;
+	/** Whether no response has shown since the latest ejection that the target has recovered. */
+	private _isOnProbation = false;
 
-	/** Whether the target should be left alone where there are others. */
-	isSuspect(now: Millis): boolean {
-		return now < this._suspectUntil;
+	/** Whether other targets should be preferred. */
+	isEjected(now: Millis): boolean {
+		return now < this._ejectedUntil;
 	}
 
 	/**
-	 * Whether a request may go to the target. After its time alone one request of this instance at a time tries it, until an
-	 * answer shows that it is well: the others would share its fate.
-	 * @param inFlight requests of this instance that the target has not ended
+	 * Whether a request may be sent to the target. After an ejection only one request of this instance at a time is sent to
+	 * it, until a response shows that the target has recovered; this bounds the requests that fail otherwise.
+	 * @param inFlight requests of this instance that are in progress at the target
 	 */
 	admits(inFlight: number, now: Millis): boolean {
-		return !this.isSuspect(now) && (!this._isOnTrial || inFlight === 0);
+		return !this.isEjected(now) && (!this._isOnProbation || inFlight === 0);
 	}
 
-	/** Share of failures among the latest requests, 0 to 1. */
-	get failureShare(): number {
-		return this._failureShare;
+	/** Moving average of the failure rate, 0 to 1. */
+	get failureRate(): number {
+		return this._failureRate;
 	}
 
-	/** What the target's latest answers took, on average. */
-	get usualMs(): Millis {
-		return this._usualMs;
+	/** Moving average of the response time. */
+	get averageResponseMs(): Millis {
+		return this._averageResponseMs;
 	}
 
-	/** No connection came up. */
+	/** Records that no connection could be established. */
 	noteUnreachable(now: Millis): void {
-		this._suspect(now);
+		this._eject(now);
 	}
 
-	/** A request was sent and brought no answer, or a failure. */
-	noteFailure(now: Millis): void {
-		this._failureShare += FAILURE_WEIGHT * (1 - this._failureShare);
-		if (this._failureShare >= SUSPECT_SHARE) {
-			this._suspect(now);
+	/** Records that a request got no response, or an error response. */
+	recordFailure(now: Millis): void {
+		this._failureRate += FAILURE_SMOOTHING * (1 - this._failureRate);
+		if (this._failureRate >= EJECTION_FAILURE_RATE) {
+			this._eject(now);
 		}
 	}
 
 	/**
-	 * No answer came before the time of the request was over; that says little where it had less time than answers take.
-	 * @param serviceMs what the answers of the service take on average
+	 * Records that a request reached its deadline without a response. It counts as a failure only if it waited much longer
+	 * than responses of the service take.
+	 * @param serviceMs average response time of the service
 	 */
-	noteTimeOver(waitedMs: Millis, serviceMs: Millis, now: Millis): void {
+	recordTimeout(waitedMs: Millis, serviceMs: Millis, now: Millis): void {
 		if (waitedMs > SLOW_FACTOR * serviceMs) {
-			this.noteFailure(now);
+			this.recordFailure(now);
 		}
 	}
 
 	/**
-	 * An answer came.
-	 * @param serviceMs what the answers of the service take on average
+	 * Records a successful response.
+	 * @param serviceMs average response time of the service
 	 */
-	noteAnswer(durationMs: Millis, serviceMs: Millis, now: Millis): void {
-		this._failureShare *= 1 - FAILURE_WEIGHT;
-		this._answers++;
-		this._usualMs = this._answers === 1 ? durationMs : this._usualMs + TIME_WEIGHT * (durationMs - this._usualMs);
-		if (this._answers >= LEAST_ANSWERS && this._usualMs > SLOW_FACTOR * serviceMs) {
-			this._suspect(now);
-		} else if (!this.isSuspect(now)) {
-			this._suspicions = 0;
-			this._isOnTrial = this._isOnTrial && this._usualMs > SLOW_FACTOR * serviceMs;
+	recordResponse(durationMs: Millis, serviceMs: Millis, now: Millis): void {
+		this._failureRate *= 1 - FAILURE_SMOOTHING;
+		this._responsesSinceEjection++;
+		this._averageResponseMs =
+			this._responsesSinceEjection === 1
+				? durationMs
+				: this._averageResponseMs + RESPONSE_TIME_SMOOTHING * (durationMs - this._averageResponseMs);
+		if (this._responsesSinceEjection >= MIN_RESPONSES && this._averageResponseMs > SLOW_FACTOR * serviceMs) {
+			this._eject(now);
+		} else if (!this.isEjected(now)) {
+			this._consecutiveEjections = 0;
+			this._isOnProbation = this._isOnProbation && this._averageResponseMs > SLOW_FACTOR * serviceMs;
 		}
 	}
 
-	private _suspect(now: Millis): void {
-		if (this.isSuspect(now)) {
+	private _eject(now: Millis): void {
+		if (this.isEjected(now)) {
 			return;
 		}
-		const spanMs = FIRST_SUSPICION_MS * 2 ** Math.min(this._suspicions, MAX_DOUBLINGS);
-		this._suspicions++;
-		this._suspectUntil = now + Math.min(spanMs, LONGEST_SUSPICION_MS);
-		this._failureShare = Math.min(this._failureShare, SHARE_ON_TRIAL);
-		this._answers = 0;
-		this._isOnTrial = true;
+		const ejectionMs = BASE_EJECTION_MS * 2 ** Math.min(this._consecutiveEjections, MAX_DOUBLINGS);
+		this._consecutiveEjections++;
+		this._ejectedUntil = now + Math.min(ejectionMs, MAX_EJECTION_MS);
+		this._failureRate = Math.min(this._failureRate, PROBATION_FAILURE_RATE);
+		this._responsesSinceEjection = 0;
+		this._isOnProbation = true;
 	}
 }
--- a/src/plugins/forwarding/common/targets/targetRefusal.ts
+++ b/src/plugins/forwarding/common/targets/targetRefusal.ts
@@ -3,32 +3,29 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * What to make of a target that turns a request away. The load pattern: many targets of a service turn a part of their
- * requests away though they have room, for seconds. A second target has not seen the object, so its answer is late, and who
- * takes the first one for full sends it all other objects too; asked once more, the first one answers in time.
+ * Classifies refusals. Targets may shed some of their requests for seconds although they have free slots. Retrying such a
+ * request at the same target usually succeeds in time, while another target has not served the object yet and responds late.
+ * Treating the first target as full would also move all its other objects.
  */
 
 import type { AttemptTrace } from '../requestTrace.js';
 import { NotRunCause } from '../attempt.js';
-import type { LoadWord } from './targetWord.js';
+import type { LoadReport } from './targetWord.js';
 
-/**
- * Tries of one request at one target: the second one finds out whether chance turned it away. A third would cost a retry
- * that another target makes better use of.
- */
-const MOST_TRIES_AT_ONE = 2;
+/** Maximum number of attempts of one request at the same target. Further retries are better spent at other targets. */
+const MAX_ATTEMPTS_PER_TARGET = 2;
 
 /**
- * Why a target turned a request away as it has no room for it, by its own word.
- * @param load the load word of the refusal; undefined where it has none
+ * Whether a target that refused a request is full or sheds load, according to its own load report.
+ * @param load load report of the refusal; undefined if it has none, which counts as full
  */
-export function refusalCause(load: LoadWord | undefined): NotRunCause {
+export function refusalCause(load: LoadReport | undefined): NotRunCause {
 	const hasRoom = load !== undefined && load.running < load.slots && load.waiting === 0;
 	return hasRoom ? NotRunCause.Shed : NotRunCause.Full;
 }
 
-/** Whether a request that was turned away may go to the same target again. */
+/** Whether a refused request may be retried at the same target. */
 export function mayTryAgain(cause: NotRunCause, target: string, attempts: readonly AttemptTrace[]): boolean {
 	const tries = attempts.filter(attempt => attempt.target === target).length;
-	return cause === NotRunCause.Shed && tries < MOST_TRIES_AT_ONE;
+	return cause === NotRunCause.Shed && tries < MAX_ATTEMPTS_PER_TARGET;
 }
--- a/src/plugins/forwarding/common/targets/targetState.ts
+++ b/src/plugins/forwarding/common/targets/targetState.ts
@@ -2,93 +2,94 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What this instance knows of one target by its own requests: load, health, and the pace while it is cold. */
+/** State of one target as observed by this instance's own requests: load, health, backoff and cold-start pacing. */
 
 import type { Millis } from '../../../../base/clock.js';
 import type { RegionLoad } from '../placement/regionLoad.js';
 import { TargetHealth } from './targetHealth.js';
-import { TargetRest } from './targetRest.js';
-import type { LoadWord } from './targetWord.js';
+import { TargetBackoff } from './targetBackoff.js';
+import type { LoadReport } from './targetWord.js';
 
-/** A load word older than this says nothing any more. */
-const LOAD_WORD_AGE_MS = 1500;
+/** Load reports older than this are ignored. */
+const LOAD_REPORT_MAX_AGE_MS = 1500;
 
-/** A connection that did not come up says for this long that a target is out of reach; a new one is tried before. */
-const UNREACHABLE_MS = 4000;
+/** A target counts as unreachable for this long after a failed connection, unless it responds in the meantime. */
+const UNREACHABLE_RETENTION_MS = 4000;
 
 /** State of one target at this instance. */
 export class TargetState {
-	/** Whether it answers as it should. */
+	/** Failure rate and response time. */
 	readonly health = new TargetHealth();
-	/** Whether it wants work from this instance. */
-	readonly rest = new TargetRest();
-	/** Requests of this instance that the target has not ended. */
+	/** Backoff that the target asked for. */
+	readonly rest = new TargetBackoff();
+	/** Number of requests of this instance that are in progress at the target. */
 	inFlight = 0;
-	/** Whether this instance has sent it a request. */
+	/** Whether this instance has sent a request to the target. */
 	isUsed = false;
-	/** Another target has the address now; this one will not be met again. */
+	/** Whether the address now belongs to another target; this one will not return. */
 	isReplaced = false;
-	/** When it last answered anything; undefined for never. */
+	/** When the target last sent any response; undefined for never. */
 	answeredAt: Millis | undefined;
-	/** When a connection last did not come up; undefined for never. */
+	/** When a connection attempt last failed; undefined for never. */
 	unreachableAt: Millis | undefined;
-	private _othersLoad = 0;
-	private _toldAt: Millis = Number.NEGATIVE_INFINITY;
+	private _otherInstancesLoad = 0;
+	private _loadReportedAt: Millis = Number.NEGATIVE_INFINITY;
 	private _coldTokens = 1;
 	private _coldTokensAt: Millis = 0;
 
-	/** @param regionLoad what is known of the service's targets in its region */
+	/** @param regionLoad load of the service's targets in the region of this target */
 	constructor(
 		readonly id: string,
-		/** The life of the target that is meant. */
+		/** Start time that identifies the run of the target's process. */
 		readonly bornAt: number,
 		readonly slots: number,
 		readonly regionLoad: RegionLoad
 	) {}
 
-	/** Whether the latest connection to it did not come up, a short time ago. */
+	/** Whether a connection attempt failed recently and the target has not responded since. */
 	isUnreachable(now: Millis): boolean {
 		const { unreachableAt, answeredAt } = this;
-		const isRecent = unreachableAt !== undefined && now - unreachableAt <= UNREACHABLE_MS;
+		const isRecent = unreachableAt !== undefined && now - unreachableAt <= UNREACHABLE_RETENTION_MS;
 		return isRecent && (answeredAt === undefined || answeredAt < unreachableAt);
 	}
 
 	/**
-	 * Requests at the target, those of other instances included: by its latest load word, which counts less and less, and by
-	 * what the other targets of the region bear.
+	 * Estimated number of requests at the target, those of other instances included. It blends the latest load report of the
+	 * target, whose weight decreases with its age, with the mean load of the targets in the region.
 	 */
 	load(now: Millis): number {
-		const wordWeight = Math.max(0, 1 - (now - this._toldAt) / LOAD_WORD_AGE_MS);
-		if (wordWeight === 0) {
-			return Math.max(this.inFlight, this._usualLoad(now));
+		const reportWeight = Math.max(0, 1 - (now - this._loadReportedAt) / LOAD_REPORT_MAX_AGE_MS);
+		if (reportWeight === 0) {
+			return Math.max(this.inFlight, this._estimatedLoad(now));
 		}
-		const told = this.inFlight + this._othersLoad;
-		return Math.max(this.inFlight, told * wordWeight + this._usualLoad(now) * (1 - wordWeight));
+		const reportedLoad = this.inFlight + this._otherInstancesLoad;
+		return Math.max(this.inFlight, reportedLoad * reportWeight + this._estimatedLoad(now) * (1 - reportWeight));
 	}
 
-	private _usualLoad(now: Millis): number {
+	private _estimatedLoad(now: Millis): number {
 		return this.regionLoad.meanFill(now) * this.slots;
 	}
 
-	/** Takes a load word in that came with an answer; the answered request still counts as in flight. */
-	takeLoadWord(word: LoadWord, now: Millis): void {
-		this.regionLoad.note((word.running + word.waiting) / Math.max(1, word.slots), now);
-		this._othersLoad = Math.max(0, word.running + word.waiting - Math.max(0, this.inFlight - 1));
-		this._toldAt = now;
+	/** Applies the load report of a response. Must be called while the request still counts as in flight. */
+	applyLoadReport(report: LoadReport, now: Millis): void {
+		this.regionLoad.note((report.running + report.waiting) / Math.max(1, report.slots), now);
+		this._otherInstancesLoad = Math.max(0, report.running + report.waiting - Math.max(0, this.inFlight - 1));
+		this._loadReportedAt = now;
 	}
 
-	/** The target said that it is full: until it says otherwise its slots count as taken. */
-	noteFull(now: Millis): void {
-		this._othersLoad = Math.max(this._othersLoad, this.slots * 2);
-		this._toldAt = now;
+	/** Records that the target refused a request as full. Its slots count as taken, with the weight of a new load report. */
+	markFull(now: Millis): void {
+		this._otherInstancesLoad = Math.max(this._otherInstancesLoad, this.slots * 2);
+		this._loadReportedAt = now;
 	}
 
 	/**
-	 * Takes leave to send one request to a cold target.
-	 * @param perSecond this instance's part of what the target bears
+	 * Consumes a token to send one request to a cold target.
+	 * @param perSecond this instance's share of the request rate that the target accepts while it is cold
+	 * @returns false if no token is available
 	 */
 	takeColdToken(perSecond: number, now: Millis): boolean {
-		this._refillCold(perSecond, now);
+		this._refillColdTokens(perSecond, now);
 		if (this._coldTokens < 1) {
 			return false;
 		}
@@ -96,13 +97,13 @@
 		return true;
 	}
 
-	/** Whether a request could be sent to the target while it is cold. */
+	/** Whether {@link tryTakeColdToken} would succeed. */
 	hasColdToken(perSecond: number, now: Millis): boolean {
-		this._refillCold(perSecond, now);
+		this._refillColdTokens(perSecond, now);
 		return this._coldTokens >= 1;
 	}
 
-	private _refillCold(perSecond: number, now: Millis): void {
+	private _refillColdTokens(perSecond: number, now: Millis): void {
 		const gained = ((now - this._coldTokensAt) / 1000) * perSecond;
 		this._coldTokens = Math.min(1, this._coldTokens + gained);
 		this._coldTokensAt = now;
--- a/src/plugins/forwarding/common/targets/targetWord.ts
+++ b/src/plugins/forwarding/common/targets/targetWord.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** All that a target says of itself in the head of an answer, whatever becomes of the answer: decoded here and nowhere else. */
+/** Decodes what a target reports about itself in the headers of a response. */
 
 import type { IncomingMessage } from 'node:http';
 import type { Millis } from '../../../../base/clock.js';
@@ -11,41 +11,45 @@
 const STATUS_OTHER_TARGET = 421;
 const STATUS_TOO_MANY = 429;
 const STATUS_UNAVAILABLE = 503;
-/** A longer rest counts as this one: it outlasts any life of a target, and a target that is well starts a new one. */
-const MOST_REST_MS: Millis = 24 * 3600 * 1000;
-/** A number with or without a fraction. */
+/** Upper bound of a requested backoff. No target process is expected to run longer, and a restart ends the backoff. */
+const MAX_BACKOFF_MS: Millis = 24 * 3600 * 1000;
+/** An unsigned decimal number with an optional fraction. */
 const DECIMAL = /^\d+(\.\d+)?$/;
-/** The one form of dates that HTTP writes, such as `Thu, 03 Dec 2026 10:00:05 GMT`. */
+/** The preferred date format of HTTP (RFC 9110, section 5.6.7), such as `Thu, 03 Dec 2026 10:00:05 GMT`. */
 const HTTP_DATE = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/;
 
-/** Load as a target told it. */
-export interface LoadWord {
+/** Load of a target, as reported by the target. */
+export interface LoadReport {
 	readonly running: number;
 	readonly waiting: number;
 	readonly slots: number;
 }
 
-/** What a target says of itself with one answer. */
-export interface TargetWord {
-	/** Undefined where it does not say. */
-	readonly load: LoadWord | undefined;
-	/** For how long it wants nothing more from this instance, counted from the answer; 0 where it does not ask for rest. */
+/** A request of a target not to be sent further requests. */
+export interface BackoffRequest {
+	/** How long this instance must not send requests, counted from the response; 0 if no backoff is requested. */
 	readonly restMs: Millis;
-	/** It ends soon, and wants no new work in this life. */
+	/** Whether the target is shutting down and accepts no new requests until it has restarted. */
 	readonly isLeaving: boolean;
-	/** Requests a second that it takes from all instances together; undefined where it names no limit. */
+}
+
+/** What a target reports about itself in one response. */
+export interface TargetWord extends BackoffRequest {
+	/** Undefined if the target does not report its load. */
+	readonly load: LoadReport | undefined;
+	/** Rate limit of the target for all instances together, in requests per second; undefined if it reports none. */
 	readonly limitPerSecond: number | undefined;
-	/** Whether the answer shows the id of its request; one that does not may have lost what else its target says. */
+	/** Whether the response echoes the id of the request. If not, other headers of the target may be missing as well. */
 	readonly hasEcho: boolean;
-	/** It did not run the request. */
+	/** Whether the target did not execute the request. */
 	readonly isNotRun: boolean;
 }
 
-/** The head of an answer. */
-export type AnswerHead = Pick<IncomingMessage, 'statusCode' | 'headers' | 'headersDistinct'>;
+/** Status and headers of a response. */
+export type ResponseHead = Pick<IncomingMessage, 'statusCode' | 'headers' | 'headersDistinct'>;
 
-/** Reads `running,waiting,slots`; undefined for anything else. */
-export function parseLoadWord(text: string | readonly string[] | undefined): LoadWord | undefined {
+/** Parses `running,waiting,slots`; undefined for anything else. */
+export function parseLoadWord(text: string | readonly string[] | undefined): LoadReport | undefined {
 	const numbers = typeof text === 'string' ? text.split(',').map(Number) : undefined;
 	if (numbers?.length !== 3 || numbers.some(number => !Number.isFinite(number) || number < 0)) {
 		return undefined;
@@ -54,36 +58,37 @@
 }
 
 /**
- * Reads one value of a header that asks for rest: seconds, or a date. What is neither, or lies in the past, asks for none.
- * @param sentAt the date of the answer by the clock that wrote it, as Unix milliseconds
+ * Parses one `Retry-After` value: seconds or an HTTP date. Unlike in RFC 9110, seconds may have a fraction.
+ * @param sentAt date of the response by the clock of its sender, in Unix milliseconds
+ * @returns the requested backoff; 0 for invalid values and for dates in the past
  */
-export function parseRest(text: string, sentAt: number): Millis {
+export function parseRetryAfter(text: string, sentAt: number): Millis {
 	const trimmed = text.trim();
-	const wanted = DECIMAL.test(trimmed) ? Number(trimmed) * 1000 : untilDate(trimmed, sentAt);
-	return wanted > 0 ? Math.min(wanted, MOST_REST_MS) : 0;
+	const requestedMs = DECIMAL.test(trimmed) ? Number(trimmed) * 1000 : msUntilDate(trimmed, sentAt);
+	return requestedMs > 0 ? Math.min(requestedMs, MAX_BACKOFF_MS) : 0;
 }
 
-/** Reads one value of a header that names a limit, in requests a second; undefined for what names none. */
+/** Parses one rate limit value, in requests per second; undefined for invalid values. */
 export function parseLimit(text: string): number | undefined {
 	const trimmed = text.trim();
 	const perSecond = DECIMAL.test(trimmed) ? Number(trimmed) : Number.NaN;
 	return Number.isFinite(perSecond) ? perSecond : undefined;
 }
 
-function untilDate(text: string, sentAt: number): Millis {
+function msUntilDate(text: string, sentAt: number): Millis {
 	return HTTP_DATE.test(text) ? Date.parse(text) - sentAt : 0;
 }
 
 /**
- * Reads the head of a target's answer.
- * @param wallNow the time of day, as Unix milliseconds, for a date in an answer that does not say when it was sent
+ * Parses the status and headers of a target's response.
+ * @param wallNow current Unix time in milliseconds, used as the date of a response without a valid `Date` header
  */
-export function readTargetWord(head: AnswerHead, names: IHeaderNames, wallNow: number): TargetWord {
+export function readTargetWord(head: ResponseHead, names: IHeaderNames, wallNow: number): TargetWord {
 	const { statusCode: status, headers } = head;
-	const isTurnedAway = status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY;
+	const isRefusal = status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY;
 	return {
 		load: parseLoadWord(headers[names.load]),
-		restMs: isTurnedAway ? longestRest(head, names, wallNow) : 0,
+		restMs: isRefusal ? longestBackoffMs(head, names, wallNow) : 0,
 		isLeaving: headers[names.leaving] === '1',
 		limitPerSecond: lowestLimit(head, names),
 		hasEcho: headers[names.requestId] !== undefined,
@@ -91,19 +96,19 @@
 	};
 }
 
-/** Each value holds by itself, so the longest one does. */
-function longestRest({ headers, headersDistinct }: AnswerHead, names: IHeaderNames, wallNow: number): Millis {
+/** The longest backoff, if the header occurs more than once. */
+function longestBackoffMs({ headers, headersDistinct }: ResponseHead, names: IHeaderNames, wallNow: number): Millis {
 	if (headers[names.rest] === undefined) {
 		return 0;
 	}
 	const dated = Date.parse(headers.date ?? '');
 	const sentAt = Number.isNaN(dated) ? wallNow : dated;
-	const rests = (headersDistinct[names.rest] ?? []).map(text => parseRest(text, sentAt));
-	return Math.max(0, ...rests);
+	const backoffs = (headersDistinct[names.rest] ?? []).map(text => parseRetryAfter(text, sentAt));
+	return Math.max(0, ...backoffs);
 }
 
-/** Each value holds by itself, so the lowest one does. */
-function lowestLimit({ headers, headersDistinct }: AnswerHead, names: IHeaderNames): number | undefined {
+/** The lowest rate limit, if the header occurs more than once. */
+function lowestLimit({ headers, headersDistinct }: ResponseHead, names: IHeaderNames): number | undefined {
 	if (headers[names.limit] === undefined) {
 		return undefined;
 	}
--- a/src/plugins/forwarding/node/targets/limitWatch.ts
+++ b/src/plugins/forwarding/node/targets/limitWatch.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Tells operators which targets name a limit for all instances together, and what this instance sends them. The limit bounds a sum, so
- * the counts carry the target: added up over the instances they are what it got.
+ * Logs and metrics on the rate limits of targets and the requests that this instance sends to them. As a limit applies to
+ * all instances together, the counters are labelled by target: their sum over the instances is what the target received.
  */
 
 import { Counter, Gauge } from 'prom-client';
@@ -17,11 +17,11 @@
 import { TraceSampler } from '../../common/requestTrace.js';
 import type { SentRequest } from './restWatch.js';
 
-/** Time between lines on what was sent to one target with a limit. */
-const SENT_LINE_MS: Millis = 2000;
+/** Interval of the log lines on the requests sent to one target. */
+const LOG_INTERVAL_MS: Millis = 2000;
 
-const TRIES = ['first', 'other'] as const;
-const CHOSEN = ['after', 'before'] as const;
+const TRY_LABELS = ['first', 'other'] as const;
+const CHOSEN_LABELS = ['after', 'before'] as const;
 
 interface SentCount {
 	since: Millis;
@@ -30,11 +30,11 @@
 	beforeWord: number;
 }
 
-/** Logs and counts limits and what is sent to the targets that named them. */
+/** Logs and counts changes of target rate limits, and the requests sent to the targets that have one. */
 export class LimitWatch extends Disposable {
 	private readonly _sampler = new TraceSampler();
-	private readonly _sent: Counter;
-	private readonly _counts = new Map<string, SentCount>();
+	private readonly _sentCounter: Counter;
+	private readonly _sentCounts = new Map<string, SentCount>();
 
 	constructor(
 		metrics: IMetricsService,
@@ -45,7 +45,7 @@
 		const registers = [metrics.registry];
 		new Gauge({
 			name: 'shelffield_target_limit_per_second',
-			help: 'Requests a second that a target takes from all instances together, by its own word.',
+			help: 'Rate limit of a target for all instances together, in requests per second, as reported by the target.',
 			labelNames: ['service', 'target'],
 			registers,
 			collect() {
@@ -53,28 +53,37 @@
 				_limits.limited().forEach(({ id, service, perSecond }) => this.set({ service, target: id }, perSecond));
 			}
 		});
-		this._sent = new Counter({
+		this._sentCounter = new Counter({
 			name: 'shelffield_requests_to_limited_targets_total',
-			help: 'Requests written to a target that names a limit, by try and by whether the limit was known when it was chosen.',
+			help: 'Requests sent to a rate-limited target, by first or other try and by selection after or before the limit was known.',
 			labelNames: ['service', 'target', 'try', 'chosen'],
 			registers
 		});
-		this._register(_limits.onDidChange(event => this._noteChange(event)));
+		this._register(_limits.onDidChange(event => this._onLimitChange(event)));
 	}
 
-	private _noteChange({ record: { id, service }, change, perSecond, source }: TargetLimitEvent): void {
+	private _onLimitChange({ record: { id, service }, change, perSecond, source }: TargetLimitEvent): void {
 		if (this._sampler.admits(false, systemClock.now())) {
-			this._log.info('limit of a target', { task: 'forwarding', target: id, service, change, perSecond, source });
+			this._log.info('target rate limit changed', {
+				task: 'forwarding',
+				target: id,
+				service,
+				change,
+				perSecond,
+				source
+			});
 		}
 		if (perSecond === undefined) {
-			this._counts.delete(id);
-			TRIES.forEach(each => CHOSEN.forEach(chosen => this._sent.remove({ service, target: id, try: each, chosen })));
+			this._sentCounts.delete(id);
+			TRY_LABELS.forEach(each =>
+				CHOSEN_LABELS.forEach(chosen => this._sentCounter.remove({ service, target: id, try: each, chosen }))
+			);
 		}
 	}
 
 	/**
-	 * A request that was sent to a target has ended.
-	 * @param isFirstTry whether no other target was asked before
+	 * Counts a request that was sent to a rate-limited target, when it has ended.
+	 * @param isFirstTry whether it was the first attempt of its request
 	 */
 	noteSent(record: TargetRecord, { chosenAt, writtenAt }: SentRequest, isFirstTry: boolean): void {
 		const now = systemClock.now();
@@ -85,17 +94,17 @@
 		const { id, service } = record;
 		const isKnown = this._limits.knownSince(record) <= chosenAt;
 		const labels = { service, target: id, try: isFirstTry ? 'first' : 'other', chosen: isKnown ? 'after' : 'before' };
-		this._sent.inc(labels);
-		const count = this._counts.get(id) ?? { since: now, firstTries: 0, otherTries: 0, beforeWord: 0 };
-		this._counts.set(id, count);
+		this._sentCounter.inc(labels);
+		const count = this._sentCounts.get(id) ?? { since: now, firstTries: 0, otherTries: 0, beforeWord: 0 };
+		this._sentCounts.set(id, count);
 		count[isFirstTry ? 'firstTries' : 'otherTries']++;
 		count.beforeWord += isKnown ? 0 : 1;
-		if (now - count.since >= SENT_LINE_MS) {
-			this._counts.delete(id);
+		if (now - count.since >= LOG_INTERVAL_MS) {
+			this._sentCounts.delete(id);
 			const { since, ...sent } = count;
 			const what = { target: id, service, perSecond, ...sent, inMs: Math.round(now - since) };
 			if (this._sampler.admits(false, now)) {
-				this._log.info('sent to a target with a limit', { task: 'forwarding', ...what });
+				this._log.info('requests sent to rate-limited target', { task: 'forwarding', ...what });
 			}
 		}
 	}
--- a/src/plugins/forwarding/node/targets/outcomeNotes.ts
+++ b/src/plugins/forwarding/node/targets/outcomeNotes.ts
@@ -2,20 +2,20 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What this instance learns of services and targets from the requests that it carries. */
+/** Updates demand and target state from the outcomes of the requests that this instance forwards. */
 
 import type { Millis } from '../../../../base/clock.js';
 import { type AttemptOutcome, NotRunCause, type TargetAnswer } from '../../common/attempt.js';
 import { DemandMeter } from '../../common/placement/demandMeter.js';
 import type { TargetState } from '../../common/targets/targetState.js';
-import type { LoadWord } from '../../common/targets/targetWord.js';
+import type { LoadReport } from '../../common/targets/targetWord.js';
 import { isFailure, type Journey } from '../journey.js';
 
-/** Keeps what services need and how targets do. */
+/** Tracks the demand for services, and applies outcomes of attempts to target states. */
 export class OutcomeNotes {
 	private readonly _demand = new Map<string, DemandMeter>();
 
-	/** A caller's request for a service came in. */
+	/** Records that a caller's request for a service was received. */
 	noteRequest(service: string, now: Millis): void {
 		this._demandOf(service, now).noteRequest(now);
 	}
@@ -29,49 +29,49 @@
 		return meter;
 	}
 
-	/** Slots that the callers of this instance need, by service. */
+	/** Number of slots needed to serve the callers of this instance, by service. */
 	slotsNeeded(now: Millis): Readonly<Record<string, number>> {
 		const slots = [...this._demand].map(([service, meter]) => [service, meter.slots(now)] as const);
 		return Object.fromEntries(slots);
 	}
 
-	/** What a request of a service takes where nothing holds it up. */
+	/** Typical processing time of a request of a service, without queueing. */
 	typicalMs(service: string, now: Millis): Millis {
 		return this._demandOf(service, now).typicalMs;
 	}
 
-	/** Takes the load word of an answer in, if there is one. */
-	noteLoad(state: TargetState, load: LoadWord | undefined, now: Millis): void {
+	/** Applies the load report of a response, if there is one. */
+	noteLoad(state: TargetState, load: LoadReport | undefined, now: Millis): void {
 		if (load) {
-			state.takeLoadWord(load, now);
+			state.applyLoadReport(load, now);
 		}
 	}
 
 	/**
-	 * Takes in what came of one attempt.
-	 * @param durationMs from the choice of the target to the outcome
+	 * Records the outcome of one attempt.
+	 * @param durationMs time from the selection of the target to the outcome
 	 */
 	noteOutcome(journey: Journey, state: TargetState, outcome: AttemptOutcome, durationMs: Millis, now: Millis): void {
-		noteContact(state, outcome, now);
+		recordContact(state, outcome, now);
 		switch (outcome.type) {
 			case 'answer':
-				this._noteAnswer(journey.service, state, outcome, durationMs, now);
+				this._recordResponse(journey.service, state, outcome, durationMs, now);
 				break;
 			case 'not-run':
-				noteNotRun(state, outcome.cause, now);
+				recordNotRun(state, outcome.cause, now);
 				break;
 			case 'broken':
-				state.health.noteFailure(now);
+				state.health.recordFailure(now);
 				break;
 			case 'abandoned':
 				if (!journey.exchange.hasLeft) {
-					state.health.noteTimeOver(durationMs, this._demandOf(journey.service, now).meanMs, now);
+					state.health.recordTimeout(durationMs, this._demandOf(journey.service, now).meanMs, now);
 				}
 				break;
 		}
 	}
 
-	private _noteAnswer(
+	private _recordResponse(
 		service: string,
 		state: TargetState,
 		answer: TargetAnswer,
@@ -79,17 +79,17 @@
 		now: Millis
 	): void {
 		if (isFailure(answer)) {
-			state.health.noteFailure(now);
+			state.health.recordFailure(now);
 			return;
 		}
 		const meter = this._demandOf(service, now);
-		state.health.noteAnswer(durationMs, meter.meanMs, now);
+		state.health.recordResponse(durationMs, meter.meanMs, now);
 		meter.noteAnswer(durationMs);
 	}
 }
 
-/** Whether the target is there at all, however it answered. */
-function noteContact(state: TargetState, outcome: AttemptOutcome, now: Millis): void {
+/** Records whether the target is reachable, regardless of the kind of its response. */
+function recordContact(state: TargetState, outcome: AttemptOutcome, now: Millis): void {
 	if (outcome.type === 'answer' || (outcome.type === 'not-run' && outcome.hasArrived)) {
 		state.answeredAt = now;
 	} else if (outcome.type === 'not-run' && outcome.cause === NotRunCause.NoConnection) {
@@ -97,10 +97,10 @@
 	}
 }
 
-function noteNotRun(state: TargetState, cause: NotRunCause, now: Millis): void {
+function recordNotRun(state: TargetState, cause: NotRunCause, now: Millis): void {
 	switch (cause) {
 		case NotRunCause.Full:
-			state.noteFull(now);
+			state.markFull(now);
 			break;
 		case NotRunCause.OtherTarget:
 			state.isReplaced = true;
@@ -109,7 +109,7 @@
 			state.health.noteUnreachable(now);
 			break;
 		case NotRunCause.Refused:
-			state.health.noteFailure(now);
+			state.health.recordFailure(now);
 			break;
 	}
 }
--- a/src/plugins/forwarding/node/targets/restWatch.ts
+++ b/src/plugins/forwarding/node/targets/restWatch.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Tells operators which targets ask for rest or say that they leave, and what they are sent all the same. */
+/** Logs and metrics on targets that ask for backoff or announce their shutdown, and on requests they receive meanwhile. */
 
 import { Counter, Gauge } from 'prom-client';
 import { type Millis, systemClock } from '../../../../base/clock.js';
@@ -14,21 +14,22 @@
 import type { TargetState } from '../../common/targets/targetState.js';
 import type { TargetWord } from '../../common/targets/targetWord.js';
 
-/** One request that went to a target. */
+/** One request that was sent to a target. */
 export interface SentRequest {
+	/** When the target was selected, on the monotonic clock. */
 	readonly chosenAt: Millis;
-	/** When it may have been written; undefined for never. */
+	/** When the request may have been written; undefined for never. */
 	readonly writtenAt: Millis | undefined;
 	readonly outcome: AttemptOutcome;
 }
 
-/** Logs and counts what targets ask for. */
+/** Logs and counts backoff and shutdown announcements of targets. */
 export class RestWatch {
 	private readonly _sampler = new TraceSampler();
-	private readonly _asked: Counter;
-	private readonly _sentAllTheSame: Counter;
+	private readonly _backoffRequests: Counter;
+	private readonly _requestsDuringBackoff: Counter;
 
-	/** @param restingByService how many targets of each service want nothing */
+	/** @param restingByService number of targets per service that are backed off */
 	constructor(
 		metrics: IMetricsService,
 		private readonly _log: ILogService,
@@ -37,7 +38,7 @@
 		const registers = [metrics.registry];
 		new Gauge({
 			name: 'shelffield_targets_at_rest',
-			help: 'Targets that want nothing from this instance now, by their own word.',
+			help: 'Targets to which this instance sends nothing now, as they asked for backoff or announced their shutdown.',
 			labelNames: ['service'],
 			registers,
 			collect() {
@@ -45,59 +46,67 @@
 				restingByService(systemClock.now()).forEach((count, service) => this.set({ service }, count));
 			}
 		});
-		this._asked = new Counter({
+		this._backoffRequests = new Counter({
 			name: 'shelffield_target_rests_asked_total',
-			help: 'Answers in which a target asked for rest (rest), or first said that it leaves (leaving).',
+			help: 'Responses in which a target asked for backoff (rest), or first announced its shutdown (leaving).',
 			labelNames: ['service', 'word'],
 			registers
 		});
-		this._sentAllTheSame = new Counter({
+		this._requestsDuringBackoff = new Counter({
 			name: 'shelffield_requests_to_resting_targets_total',
-			help: 'Requests written to a target that wanted none, chosen after or before its word was there, by outcome.',
+			help: 'Requests sent to a target during its backoff, by selection after or before the backoff was known, and by outcome.',
 			labelNames: ['service', 'chosen', 'outcome'],
 			registers
 		});
 	}
 
 	/**
-	 * A target spoke of itself; called before its state takes the word in.
-	 * @param underWay requests of this instance that the target has not ended
+	 * Records the report of a response. Must be called before the report is applied to the state of the target.
+	 * @param inFlight requests of this instance that are in progress at the target
 	 */
 	noteWord(
 		{ id, service }: TargetRecord,
 		{ rest }: TargetState,
-		word: TargetWord,
-		underWay: number,
+		report: TargetWord,
+		inFlight: number,
 		now: Millis
 	): void {
-		if (word.restMs > 0) {
-			this._tell('target asks for rest', { target: id, service, restMs: word.restMs, underWay }, now);
-			this._asked.inc({ service, word: 'rest' });
+		if (report.restMs > 0) {
+			this._logSampled(
+				'target requested backoff',
+				{ target: id, service, restMs: report.restMs, underWay: inFlight },
+				now
+			);
+			this._backoffRequests.inc({ service, word: 'rest' });
 		}
-		if (word.isLeaving && !rest.isLeaving) {
-			this._tell('target says that it leaves', { target: id, service, underWay }, now);
-			this._asked.inc({ service, word: 'leaving' });
+		if (report.isLeaving && !rest.isLeaving) {
+			this._logSampled('target announced shutdown', { target: id, service, underWay: inFlight }, now);
+			this._backoffRequests.inc({ service, word: 'leaving' });
 		}
 	}
 
-	/** A request is about to be sent to a target. */
+	/** Logs the end of the target's backoff, if it has ended; called before a request is sent to the target. */
 	noteSend({ id, service }: TargetRecord, { rest }: TargetState, now: Millis): void {
-		const restedMs = rest.takeEnded(now);
-		if (restedMs !== undefined) {
-			this._tell('target is asked again', { target: id, service, restedMs: Math.round(restedMs) }, now);
+		const backoffMs = rest.takeEndedDurationMs(now);
+		if (backoffMs !== undefined) {
+			this._logSampled('target backoff ended', { target: id, service, restedMs: Math.round(backoffMs) }, now);
 		}
 	}
 
-	/** A request that was sent to a target has ended. */
+	/** Counts a request that was sent during the target's backoff; called when it has ended. */
 	noteSent({ service }: TargetRecord, { rest }: TargetState, { chosenAt, writtenAt, outcome }: SentRequest): void {
-		if (writtenAt === undefined || !rest.isAsked(writtenAt) || rest.askedAt >= writtenAt) {
+		if (writtenAt === undefined || !rest.isAsked(writtenAt) || rest.activeSince >= writtenAt) {
 			return;
 		}
 		const cause = outcome.type === 'not-run' ? outcome.cause : outcome.type;
-		this._sentAllTheSame.inc({ service, chosen: rest.askedAt < chosenAt ? 'after' : 'before', outcome: cause });
+		this._requestsDuringBackoff.inc({
+			service,
+			chosen: rest.activeSince < chosenAt ? 'after' : 'before',
+			outcome: cause
+		});
 	}
 
-	private _tell(message: string, what: Readonly<Record<string, unknown>>, now: Millis): void {
+	private _logSampled(message: string, what: Readonly<Record<string, unknown>>, now: Millis): void {
 		if (this._sampler.admits(false, now)) {
 			this._log.info(message, { task: 'forwarding', ...what });
 		}
--- a/src/plugins/forwarding/node/targets/targetAgent.ts
+++ b/src/plugins/forwarding/node/targets/targetAgent.ts
@@ -2,91 +2,96 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Connections to targets, kept for further requests. */
+/** Connection pool for requests to targets. */
 
 import { Agent, type ClientRequest } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 import { type Millis, systemClock } from '../../../../base/clock.js';
-import { RestLimit } from '../../common/targets/restLimit.js';
+import { AdaptiveIdleTimeout } from '../../common/targets/adaptiveIdleTimeout.js';
 
-/** How long a connection rests at most where the target does not say how long it keeps one. */
-const IDLE_MS = 6000;
-/** The same where it does. */
-const MAX_IDLE_MS = 30000;
-/** A connection is given up this long before the target would close it, so that no request crosses the close. */
+/** Idle timeout of connections to targets that announce no keep-alive timeout. */
+const DEFAULT_IDLE_TIMEOUT_MS = 6000;
+/** Maximum idle timeout of connections to targets that announce one. */
+const MAX_IDLE_TIMEOUT_MS = 30000;
+/** Connections are closed this long before the target would, so that no request is lost in the race with its close. */
 const CLOSE_MARGIN_MS = 1500;
 const MAX_IDLE_SOCKETS = 64;
-const TIMEOUT_HINT = /timeout=(\d+)/;
+const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/;
 
-function closeUnasked(this: Socket): void {
+function closeOnUnexpectedData(this: Socket): void {
 	this.destroy();
 }
 
-/** What is known of a kept connection. */
-interface KeptConnection {
-	restedFrom: Millis;
-	/** How long it had rested when it was last used again. */
-	restMs: Millis;
+/** Idle times of a pooled connection. */
+interface PooledConnection {
+	idleSince: Millis;
+	/** How long it had been idle when it was last reused. */
+	idleMs: Millis;
 }
 
-/** Keeps connections; one on which a target sends something unasked is closed, since it would pass for an answer. */
+/**
+ * HTTP agent that keeps connections alive. An idle connection that receives data is closed, as the data would be taken for
+ * the response to the next request.
+ */
 export class TargetAgent extends Agent {
-	private readonly _restLimit = new RestLimit();
-	private readonly _kept = new WeakMap<Duplex, KeptConnection>();
+	private readonly _idleTimeout = new AdaptiveIdleTimeout();
+	private readonly _pooled = new WeakMap<Duplex, PooledConnection>();
 
 	constructor() {
 		super({ keepAlive: true, maxFreeSockets: MAX_IDLE_SOCKETS, scheduling: 'lifo' });
 	}
 
-	/** Whether a request would find a kept connection to a target, or may open one more. */
-	hasRoom(host: string, port: number, mostConnections: number): boolean {
+	/** Whether there is an idle connection to a target, or a further one may be opened. */
+	hasRoom(host: string, port: number, maxConnections: number): boolean {
 		const name = this.getName({ host, port });
-		const isKept = (this.freeSockets[name]?.length ?? 0) > 0;
-		return isKept || (this.sockets[name]?.length ?? 0) < mostConnections;
+		const hasIdleConnection = (this.freeSockets[name]?.length ?? 0) > 0;
+		return hasIdleConnection || (this.sockets[name]?.length ?? 0) < maxConnections;
 	}
 
 	override keepSocketAlive(stream: Duplex): boolean {
 		const socket = stream as Socket & { _httpMessage?: { res?: { headers: Record<string, string | undefined> } } };
-		const hint = TIMEOUT_HINT.exec(socket._httpMessage?.res?.headers['keep-alive'] ?? '')?.[1];
-		const idleMs = hint ? Math.min(MAX_IDLE_MS, Number(hint) * 1000 - CLOSE_MARGIN_MS) : IDLE_MS;
+		const hint = KEEP_ALIVE_TIMEOUT.exec(socket._httpMessage?.res?.headers['keep-alive'] ?? '')?.[1];
+		const keepAliveMs = hint
+			? Math.min(MAX_IDLE_TIMEOUT_MS, Number(hint) * 1000 - CLOSE_MARGIN_MS)
+			: DEFAULT_IDLE_TIMEOUT_MS;
 		const now = systemClock.now();
-		const restMs = Math.min(idleMs, this._restLimit.limitMs(now));
-		if (restMs <= 0 || socket.destroyed) {
+		const idleTimeoutMs = Math.min(keepAliveMs, this._idleTimeout.maxIdleMs(now));
+		if (idleTimeoutMs <= 0 || socket.destroyed) {
 			return false;
 		}
-		this._kept.set(socket, { restedFrom: now, restMs: 0 });
+		this._pooled.set(socket, { idleSince: now, idleMs: 0 });
 		super.keepSocketAlive(socket);
-		socket.setTimeout(restMs);
-		socket.on('data', closeUnasked);
+		socket.setTimeout(idleTimeoutMs);
+		socket.on('data', closeOnUnexpectedData);
 		return true;
 	}
 
 	override reuseSocket(stream: Duplex, request: ClientRequest): void {
 		const socket = stream as Socket;
-		socket.removeListener('data', closeUnasked);
+		socket.removeListener('data', closeOnUnexpectedData);
 		socket.setTimeout(0);
-		const kept = this._kept.get(socket);
-		if (kept) {
-			kept.restMs = systemClock.now() - kept.restedFrom;
+		const pooled = this._pooled.get(socket);
+		if (pooled) {
+			pooled.idleMs = systemClock.now() - pooled.idleSince;
 		}
 		super.reuseSocket(socket, request);
 	}
 
-	/** A request that was sent on a kept connection brought nothing back. */
-	noteLoss(stream: Duplex, targetId: string, sentForMs: Millis): void {
-		const restMs = this._kept.get(stream)?.restMs ?? 0;
-		if (this._restLimit.noteLoss(targetId, restMs, sentForMs, systemClock.now())) {
-			this._closeResting();
+	/** Records that a request on a reused connection got no response. */
+	noteLoss(stream: Duplex, targetId: string, timeToLossMs: Millis): void {
+		const idleMs = this._pooled.get(stream)?.idleMs ?? 0;
+		if (this._idleTimeout.recordLoss(targetId, idleMs, timeToLossMs, systemClock.now())) {
+			this._closeAllIdle();
 		}
 	}
 
-	/** Closes the connections that rest to an address: another process listens there now. */
+	/** Closes the idle connections to an address at which another process listens now. */
 	closeRestingTo(host: string, port: number): void {
 		this.freeSockets[this.getName({ host, port })]?.forEach(socket => socket.destroy());
 	}
 
-	private _closeResting(): void {
+	private _closeAllIdle(): void {
 		for (const sockets of Object.values(this.freeSockets)) {
 			sockets?.forEach(socket => socket.destroy());
 		}
--- a/src/plugins/forwarding/node/targets/targetProbe.ts
+++ b/src/plugins/forwarding/node/targets/targetProbe.ts
@@ -2,32 +2,32 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Asks whether a target that broke a connection off is still there. */
+/** Checks whether a target that closed a connection unexpectedly is still running. */
 
 import { connect } from 'node:net';
 import type { Millis } from '../../../../base/clock.js';
 
 /**
- * A target that has ended refuses a connection at once; the way there and back takes 70 ms between regions. One that says nothing
- * may be cut off, and is not taken to have ended.
+ * If a target has exited, its host refuses connections within one round trip, about 70 ms between regions. A target that
+ * doesn't respond within this time may be partitioned, and is not considered exited.
  */
-const ANSWER_MS: Millis = 500;
+const CONNECT_TIMEOUT_MS: Millis = 500;
 
-/** Tries of connections, one at a time for each target. */
+/** Probes targets by opening a connection; concurrent probes of the same target are combined. */
 export class TargetProbe {
-	private readonly _asked = new Map<string, Promise<boolean>>();
+	private readonly _pending = new Map<string, Promise<boolean>>();
 
 	/**
-	 * Whether nobody listens at a target's address any more.
+	 * Whether no process listens at a target's address any more.
 	 * @param address IPv4 address and port
 	 */
 	hasEnded(targetId: string, address: string): Promise<boolean> {
-		let asked = this._asked.get(targetId);
-		if (!asked) {
-			asked = isRefused(address).finally(() => this._asked.delete(targetId));
-			this._asked.set(targetId, asked);
+		let probe = this._pending.get(targetId);
+		if (!probe) {
+			probe = isRefused(address).finally(() => this._pending.delete(targetId));
+			this._pending.set(targetId, probe);
 		}
-		return asked;
+		return probe;
 	}
 }
 
@@ -35,13 +35,13 @@
 	const [host, port] = address.split(':') as [string, string];
 	return new Promise(resolve => {
 		const socket = connect({ host, port: Number(port) });
-		const end = (hasEnded: boolean): void => {
+		const finish = (isConnectionRefused: boolean): void => {
 			clearTimeout(timer);
 			socket.destroy();
-			resolve(hasEnded);
+			resolve(isConnectionRefused);
 		};
-		const timer = setTimeout(() => end(false), ANSWER_MS);
-		socket.once('connect', () => end(false));
-		socket.on('error', () => end(true));
+		const timer = setTimeout(() => finish(false), CONNECT_TIMEOUT_MS);
+		socket.once('connect', () => finish(false));
+		socket.on('error', () => finish(true));
 	});
 }
--- a/src/plugins/forwarding/node/targets/targetStates.ts
+++ b/src/plugins/forwarding/node/targets/targetStates.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The states of all targets at this instance, and the candidates for a request. */
+/** States of all targets at this instance, and selection of the candidates for a request. */
 
 import { type Millis } from '../../../../base/clock.js';
 import type { FleetView, ITargetWitness, KnownTarget } from '../../../fleet/common/fleetView.js';
@@ -13,16 +13,16 @@
 
 const SWEEP_INTERVAL_MS = 10000;
 
-/** What a request may choose from. */
+/** Targets to select from for a request. */
 export interface Candidates {
 	readonly candidates: readonly Candidate[];
-	/** Targets that could have it, but want to be left alone for now, or are at their limit. */
+	/** Targets that can't be used now because they asked for backoff or have reached their rate limit. */
 	readonly resting: readonly Candidate[];
-	/** Regions with targets, tried or not, that are neither silent nor out of reach. */
+	/** Regions with at least one target, tried or not, that is neither silent nor unreachable. */
 	readonly standing: ReadonlySet<string>;
 }
 
-/** States by target id; those of targets that are gone are dropped. */
+/** Target states by id. States of targets that have left the fleet view are removed. */
 export class TargetStates implements ITargetWitness {
 	private readonly _states = new Map<string, TargetState>();
 	private readonly _regionLoads = new Map<string, RegionLoad>();
@@ -43,7 +43,7 @@
 		return this._states.get(id)?.unreachableAt;
 	}
 
-	/** The state of one target. */
+	/** The state of a target; a new one if the target has restarted. */
 	stateOf(target: KnownTarget): TargetState {
 		const { id, bornAt, slots } = target.record;
 		let state = this._states.get(id);
@@ -55,21 +55,23 @@
 	}
 
 	/**
-	 * Targets of a service that may get a request, and the regions that are not known to be without any. Targets that said that they
-	 * leave, or whose address another one has, are not among them.
-	 * @param mayAsk whether another instance may be asked for a permit within a target's limit
+	 * The targets of a service that a request may be sent to. Targets that have announced their shutdown, or whose address
+	 * belongs to another target now, are left out.
+	 * @param homeRegions regions to which the request is restricted; empty for no restriction
+	 * @param tried ids of targets to leave out
+	 * @param mayRequestPermit whether another instance may be asked for a permit within a target's rate limit
 	 */
 	candidates(
 		service: string,
 		homeRegions: readonly string[],
 		tried: ReadonlySet<string>,
-		mayAsk: boolean,
+		mayRequestPermit: boolean,
 		now: Millis
 	): Candidates {
 		this._sweep(now);
 		const candidates: Candidate[] = [];
-		const resting: Candidate[] = [];
-		const standing = new Set<string>();
+		const deferred: Candidate[] = [];
+		const reachableRegions = new Set<string>();
 		for (const known of this._view.targetsOf(service)) {
 			const isAtHome = homeRegions.length === 0 || homeRegions.includes(known.region);
 			if (!isAtHome || this._view.isDrained(known.record.hall)) {
@@ -80,17 +82,17 @@
 				continue;
 			}
 			if (!known.isSilent && !state.isUnreachable(now)) {
-				standing.add(known.region);
+				reachableRegions.add(known.region);
 			}
 			if (!tried.has(known.record.id)) {
-				const takesOne = !state.rest.isAsked(now) && this._room.isOpen(known.record, mayAsk, now);
-				(takesOne ? candidates : resting).push({ known, state });
+				const isAvailable = !state.rest.isAsked(now) && this._room.isOpen(known.record, mayRequestPermit, now);
+				(isAvailable ? candidates : deferred).push({ known, state });
 			}
 		}
-		return { candidates, resting, standing };
+		return { candidates, resting: deferred, standing: reachableRegions };
 	}
 
-	/** How many targets of each service want nothing now, of those that control names. */
+	/** Number of targets in the fleet view that are backed off now, by service. */
 	restingByService(now: Millis): ReadonlyMap<string, number> {
 		const counts = new Map<string, number>();
 		for (const [id, { rest }] of this._states) {
@@ -118,7 +120,7 @@
 		}
 		this._sweptAt = now;
 		for (const [id, state] of this._states) {
-			if (!this._view.target(id) && state.inFlight === 0 && !state.rest.isToBeKept(now)) {
+			if (!this._view.target(id) && state.inFlight === 0 && !state.rest.mustBeRetained(now)) {
 				this._states.delete(id);
 			}
 		}
--- a/src/plugins/forwarding/test/targetWord.test.ts
+++ b/src/plugins/forwarding/test/targetWord.test.ts
@@ -2,23 +2,23 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What targets say of themselves in the heads of their answers: each value that may stand there, and what it means. */
+/** Parsing of the response headers in which targets report about themselves, and how backoff and rate limits take effect. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { IHeaderNames } from '../common/headerNames.js';
-import { TargetRest } from '../common/targets/targetRest.js';
+import { TargetBackoff } from '../common/targets/targetBackoff.js';
 import { LimitChange, TargetLimit } from '../../limits/common/targetLimit.js';
 import {
-	type AnswerHead,
+	type ResponseHead,
 	parseLimit,
-	parseRest,
+	parseRetryAfter,
 	readTargetWord,
 	type TargetWord
 } from '../common/targets/targetWord.js';
 
-const NAMES = {
+const HEADER_NAMES = {
 	requestId: 'id',
 	notRun: 'not-run',
 	load: 'load',
@@ -29,15 +29,19 @@
 const WALL_NOW = Date.parse('Thu, 03 Dec 2026 10:00:00 GMT');
 const DAY_MS = 24 * 3600 * 1000;
 
-/** The word of an answer with these headers; some of them may stand there more than once. */
-function wordOf(status: number, headers: readonly (readonly [string, string])[]): TargetWord {
+/** Parses a response with these headers, which may contain a name more than once. */
+function reportOf(status: number, headers: readonly (readonly [string, string])[]): TargetWord {
 	const headersDistinct: Record<string, string[]> = {};
 	headers.forEach(([name, value]) => (headersDistinct[name] ??= []).push(value));
 	const first = Object.fromEntries(Object.entries(headersDistinct).map(([name, values]) => [name, values[0]]));
-	return readTargetWord({ statusCode: status, headers: first, headersDistinct } as AnswerHead, NAMES, WALL_NOW);
+	return readTargetWord(
+		{ statusCode: status, headers: first, headersDistinct } as ResponseHead,
+		HEADER_NAMES,
+		WALL_NOW
+	);
 }
 
-test('rest is asked for in seconds, with or without a fraction, or by a date; what is neither asks for none', () => {
+test('a backoff is given in seconds, with or without a fraction, or as an HTTP date; anything else requests none', () => {
 	const cases: readonly (readonly [string, number])[] = [
 		['3', 3000],
 		['0.25', 250],
@@ -63,71 +67,71 @@
 		['Thu, 03 Dec 2026 09:00:00 GMT', 0]
 	];
 	for (const [text, ms] of cases) {
-		assert.equal(parseRest(text, WALL_NOW), ms, text);
+		assert.equal(parseRetryAfter(text, WALL_NOW), ms, text);
 	}
 });
 
-test('a date counts from the date of its answer, where that one is there', () => {
-	const asked = ['retry-after', 'Thu, 03 Dec 2026 10:00:05 GMT'] as const;
-	assert.equal(wordOf(503, [asked]).restMs, 5000);
-	assert.equal(wordOf(503, [asked, ['date', 'Thu, 03 Dec 2026 10:00:02 GMT']]).restMs, 3000);
+test('a backoff given as a date is relative to the Date header, if the response has one', () => {
+	const retryAfter = ['retry-after', 'Thu, 03 Dec 2026 10:00:05 GMT'] as const;
+	assert.equal(reportOf(503, [retryAfter]).restMs, 5000);
+	assert.equal(reportOf(503, [retryAfter, ['date', 'Thu, 03 Dec 2026 10:00:02 GMT']]).restMs, 3000);
 });
 
-test('only an answer that turns the request away asks for rest, and of two values the longer one holds', () => {
+test('only 429 and 503 responses request a backoff, and the longest value applies', () => {
 	for (const status of [503, 429]) {
-		assert.equal(wordOf(status, [['retry-after', '3']]).restMs, 3000);
+		assert.equal(reportOf(status, [['retry-after', '3']]).restMs, 3000);
 	}
 	for (const status of [200, 301, 400, 421, 500, 502, 504]) {
-		assert.equal(wordOf(status, [['retry-after', '3']]).restMs, 0);
+		assert.equal(reportOf(status, [['retry-after', '3']]).restMs, 0);
 	}
 	const both = [
 		['retry-after', '1'],
 		['retry-after', '4'],
 		['retry-after', 'x']
 	] as const;
-	assert.equal(wordOf(503, both).restMs, 4000);
+	assert.equal(reportOf(503, both).restMs, 4000);
 });
 
-test('any answer may say that its target leaves, and whether the request ran', () => {
-	assert.equal(wordOf(200, [['leaving', '1']]).isLeaving, true);
-	assert.equal(wordOf(503, [['leaving', '0']]).isLeaving, false);
-	assert.equal(wordOf(500, []).isLeaving, false);
-	assert.equal(wordOf(503, [['not-run', '1']]).isNotRun, true);
-	assert.equal(wordOf(421, []).isNotRun, true);
-	assert.equal(wordOf(503, [['retry-after', '1']]).isNotRun, false);
+test('any response may announce a shutdown, or state that the request was not executed', () => {
+	assert.equal(reportOf(200, [['leaving', '1']]).isLeaving, true);
+	assert.equal(reportOf(503, [['leaving', '0']]).isLeaving, false);
+	assert.equal(reportOf(500, []).isLeaving, false);
+	assert.equal(reportOf(503, [['not-run', '1']]).isNotRun, true);
+	assert.equal(reportOf(421, []).isNotRun, true);
+	assert.equal(reportOf(503, [['retry-after', '1']]).isNotRun, false);
 });
 
-test('whatever stands in the headers, a word is finite, not negative, and no longer than a day', () => {
+test('for any header values, a backoff is between zero and one day, and load figures are finite and not negative', () => {
 	const value = fc.oneof(fc.string(), fc.double().map(String), fc.date().map(String), fc.integer().map(String));
 	const header = fc.tuple(fc.constantFrom('retry-after', 'date', 'load', 'leaving', 'not-run'), value);
 	fc.assert(
 		fc.property(fc.integer({ min: 100, max: 599 }), fc.array(header), (status, headers) => {
-			const { restMs, load } = wordOf(status, headers);
+			const { restMs, load } = reportOf(status, headers);
 			assert.ok(restMs >= 0 && restMs <= DAY_MS, `${restMs}`);
 			assert.ok(!load || Object.values(load).every(number => Number.isFinite(number) && number >= 0));
 		})
 	);
 });
 
-test('what a target asked for holds until the latest of its ends, whatever it says afterwards; that it leaves holds for good', () => {
-	const words = fc.array(fc.record({ afterMs: fc.nat(4000), restMs: fc.nat(5000), isLeaving: fc.boolean() }));
+test('a backoff lasts until the latest requested end, whatever is reported later; an announced shutdown is final', () => {
+	const reports = fc.array(fc.record({ afterMs: fc.nat(4000), restMs: fc.nat(5000), isLeaving: fc.boolean() }));
 	fc.assert(
-		fc.property(words, fc.nat(10000), (said, laterMs) => {
-			const rest = new TargetRest();
+		fc.property(reports, fc.nat(10000), (received, laterMs) => {
+			const backoff = new TargetBackoff();
 			let now = 0;
 			let end = 0;
-			for (const { afterMs, ...word } of said) {
+			for (const { afterMs, ...report } of received) {
 				now += afterMs;
-				rest.hear(word, now);
-				end = word.restMs > 0 ? Math.max(end, now + word.restMs) : end;
+				backoff.hear(report, now);
+				end = report.restMs > 0 ? Math.max(end, now + report.restMs) : end;
 			}
-			const isLeaving = said.some(word => word.isLeaving);
-			assert.equal(rest.isAsked(now + laterMs), isLeaving || now + laterMs < end);
+			const isLeaving = received.some(report => report.isLeaving);
+			assert.equal(backoff.isAsked(now + laterMs), isLeaving || now + laterMs < end);
 		})
 	);
 });
 
-test('a limit is a decimal number; nothing else limits a target', () => {
+test('a rate limit is an unsigned decimal number; anything else is ignored', () => {
 	const cases: readonly (readonly [string, number | undefined])[] = [
 		['6.2', 6.2],
 		[' 4 ', 4],
@@ -151,18 +155,18 @@
 	}
 });
 
-test('of two limits in one answer the lower one holds, and one that is none takes nothing from the other', () => {
-	const word = wordOf(200, [
+test('the lowest rate limit in a response applies, and invalid values are ignored', () => {
+	const report = reportOf(200, [
 		['limit', '8'],
 		['limit', '2.5'],
 		['limit', 'many']
 	]);
-	assert.equal(word.limitPerSecond, 2.5);
-	assert.equal(wordOf(503, [['limit', '3']]).limitPerSecond, 3);
-	assert.equal(wordOf(200, []).limitPerSecond, undefined);
+	assert.equal(report.limitPerSecond, 2.5);
+	assert.equal(reportOf(503, [['limit', '3']]).limitPerSecond, 3);
+	assert.equal(reportOf(200, []).limitPerSecond, undefined);
 });
 
-test('whatever stands there for a limit names none or a number that is not negative', () => {
+test('any header value yields either no rate limit or a finite number that is not negative', () => {
 	fc.assert(
 		fc.property(fc.oneof(fc.string(), fc.double().map(String), fc.integer().map(String)), text => {
 			const perSecond = parseLimit(text);
@@ -171,7 +175,7 @@
 	);
 });
 
-test('a lower limit holds at once, a higher one or none only by an answer to what was asked after the lower one was known', () => {
+test('a lower rate limit applies at once, a higher one or none only if reported for a request sent after the lower one was known', () => {
 	const limit = new TargetLimit();
 	assert.equal(limit.hear({ perSecond: 8, askedAt: 0 }, 100), LimitChange.Named);
 	assert.equal(limit.hear({ perSecond: 2, askedAt: 50 }, 110), LimitChange.Lowered);
