--- a/src/plugins/forwarding/common/targets/targetBackoff.ts
+++ b/src/plugins/forwarding/common/targets/targetBackoff.ts
@@ -28,13 +28,13 @@
 	}
 
 	/** Applies the request of a response. A later request may extend an earlier one, but never shortens it. */
-	hear({ restMs, isLeaving }: BackoffRequest, now: Millis): void {
-		if ((restMs > 0 || isLeaving) && !this.isAsked(now)) {
+	hear({ restMs: backoffMs, isLeaving }: BackoffRequest, now: Millis): void {
+		if ((backoffMs > 0 || isLeaving) && !this.isAsked(now)) {
 			this._activeSince = now;
 		}
 		this._isLeaving ||= isLeaving;
-		if (restMs > 0) {
-			this._backoffUntil = Math.max(this._backoffUntil, now + restMs);
+		if (backoffMs > 0) {
+			this._backoffUntil = Math.max(this._backoffUntil, now + backoffMs);
 			this._isEndReported = false;
 		}
 	}
--- a/src/plugins/forwarding/node/targets/outcomeNotes.ts
+++ b/src/plugins/forwarding/node/targets/outcomeNotes.ts
@@ -74,11 +74,11 @@
 	private _recordResponse(
 		service: string,
 		state: TargetState,
-		answer: TargetAnswer,
+		response: TargetAnswer,
 		durationMs: Millis,
 		now: Millis
 	): void {
-		if (isFailure(answer)) {
+		if (isFailure(response)) {
 			state.health.recordFailure(now);
 			return;
 		}
--- a/src/plugins/forwarding/node/targets/restWatch.ts
+++ b/src/plugins/forwarding/node/targets/restWatch.ts
@@ -29,11 +29,11 @@
 	private readonly _backoffRequests: Counter;
 	private readonly _requestsDuringBackoff: Counter;
 
-	/** @param restingByService number of targets per service that are backed off */
+	/** @param backedOffByService number of targets per service that are backed off */
 	constructor(
 		metrics: IMetricsService,
 		private readonly _log: ILogService,
-		restingByService: (now: Millis) => ReadonlyMap<string, number>
+		backedOffByService: (now: Millis) => ReadonlyMap<string, number>
 	) {
 		const registers = [metrics.registry];
 		new Gauge({
@@ -43,7 +43,7 @@
 			registers,
 			collect() {
 				this.reset();
-				restingByService(systemClock.now()).forEach((count, service) => this.set({ service }, count));
+				backedOffByService(systemClock.now()).forEach((count, service) => this.set({ service }, count));
 			}
 		});
 		this._backoffRequests = new Counter({
@@ -66,7 +66,7 @@
 	 */
 	noteWord(
 		{ id, service }: TargetRecord,
-		{ rest }: TargetState,
+		{ rest: backoff }: TargetState,
 		report: TargetWord,
 		inFlight: number,
 		now: Millis
@@ -79,29 +79,33 @@
 			);
 			this._backoffRequests.inc({ service, word: 'rest' });
 		}
-		if (report.isLeaving && !rest.isLeaving) {
+		if (report.isLeaving && !backoff.isLeaving) {
 			this._logSampled('target announced shutdown', { target: id, service, underWay: inFlight }, now);
 			this._backoffRequests.inc({ service, word: 'leaving' });
 		}
 	}
 
 	/** Logs the end of the target's backoff, if it has ended; called before a request is sent to the target. */
-	noteSend({ id, service }: TargetRecord, { rest }: TargetState, now: Millis): void {
-		const backoffMs = rest.takeEndedDurationMs(now);
+	noteSend({ id, service }: TargetRecord, { rest: backoff }: TargetState, now: Millis): void {
+		const backoffMs = backoff.takeEndedDurationMs(now);
 		if (backoffMs !== undefined) {
 			this._logSampled('target backoff ended', { target: id, service, restedMs: Math.round(backoffMs) }, now);
 		}
 	}
 
 	/** Counts a request that was sent during the target's backoff; called when it has ended. */
-	noteSent({ service }: TargetRecord, { rest }: TargetState, { chosenAt, writtenAt, outcome }: SentRequest): void {
-		if (writtenAt === undefined || !rest.isAsked(writtenAt) || rest.activeSince >= writtenAt) {
+	noteSent(
+		{ service }: TargetRecord,
+		{ rest: backoff }: TargetState,
+		{ chosenAt, writtenAt, outcome }: SentRequest
+	): void {
+		if (writtenAt === undefined || !backoff.isAsked(writtenAt) || backoff.activeSince >= writtenAt) {
 			return;
 		}
 		const cause = outcome.type === 'not-run' ? outcome.cause : outcome.type;
 		this._requestsDuringBackoff.inc({
 			service,
-			chosen: rest.activeSince < chosenAt ? 'after' : 'before',
+			chosen: backoff.activeSince < chosenAt ? 'after' : 'before',
 			outcome: cause
 		});
 	}
--- a/src/plugins/forwarding/node/targets/targetStates.ts
+++ b/src/plugins/forwarding/node/targets/targetStates.ts
@@ -95,8 +95,8 @@
 	/** Number of targets in the fleet view that are backed off now, by service. */
 	restingByService(now: Millis): ReadonlyMap<string, number> {
 		const counts = new Map<string, number>();
-		for (const [id, { rest }] of this._states) {
-			const service = rest.isAsked(now) ? this._view.target(id)?.record.service : undefined;
+		for (const [id, { rest: backoff }] of this._states) {
+			const service = backoff.isAsked(now) ? this._view.target(id)?.record.service : undefined;
 			if (service !== undefined) {
 				counts.set(service, (counts.get(service) ?? 0) + 1);
 			}
--- a/src/plugins/forwarding/test/targetWord.test.ts
+++ b/src/plugins/forwarding/test/targetWord.test.ts
@@ -11,6 +11,7 @@
 import { TargetBackoff } from '../common/targets/targetBackoff.js';
 import { LimitChange, TargetLimit } from '../../limits/common/targetLimit.js';
 import {
+	type BackoffRequest,
 	type ResponseHead,
 	parseLimit,
 	parseRetryAfter,
@@ -106,15 +107,21 @@
 	const header = fc.tuple(fc.constantFrom('retry-after', 'date', 'load', 'leaving', 'not-run'), value);
 	fc.assert(
 		fc.property(fc.integer({ min: 100, max: 599 }), fc.array(header), (status, headers) => {
-			const { restMs, load } = reportOf(status, headers);
-			assert.ok(restMs >= 0 && restMs <= DAY_MS, `${restMs}`);
+			const { restMs: backoffMs, load } = reportOf(status, headers);
+			assert.ok(backoffMs >= 0 && backoffMs <= DAY_MS, `${backoffMs}`);
 			assert.ok(!load || Object.values(load).every(number => Number.isFinite(number) && number >= 0));
 		})
 	);
 });
 
 test('a backoff lasts until the latest requested end, whatever is reported later; an announced shutdown is final', () => {
-	const reports = fc.array(fc.record({ afterMs: fc.nat(4000), restMs: fc.nat(5000), isLeaving: fc.boolean() }));
+	const reports = fc.array(
+		fc.record<BackoffRequest & { readonly afterMs: number }>({
+			afterMs: fc.nat(4000),
+			restMs: fc.nat(5000),
+			isLeaving: fc.boolean()
+		})
+	);
 	fc.assert(
 		fc.property(reports, fc.nat(10000), (received, laterMs) => {
 			const backoff = new TargetBackoff();
