--- a/src/plugins/forwarding/common/targets/adaptiveIdleTimeout.ts
+++ b/src/plugins/forwarding/common/targets/adaptiveIdleTimeout.ts
@@ -48,7 +48,7 @@
 			return false;
 		}
 		this._losses = this._losses.filter(loss => now - loss.at < LOSS_WINDOW_MS);
-		this._losses.push({ targetId, idleMs: idleMs, at: now });
+		this._losses.push({ targetId, idleMs, at: now });
 		const targets = new Set(this._losses.map(loss => loss.targetId));
 		if (targets.size < MIN_AFFECTED_TARGETS) {
 			return false;
