--- a/src/plugins/commandLine/node/quarantineCommand.ts
+++ b/src/plugins/commandLine/node/quarantineCommand.ts
@@ -5,7 +5,7 @@
 /** `shelffield quarantine`: requests that end targets. */
 
 import { request } from 'undici';
-import { QUARANTINE_PAGE, type QuarantineList } from '../../fleet/common/quarantineApi.js';
+import { QUARANTINE_PATH, type QuarantineList } from '../../fleet/common/quarantineApi.js';
 import { type CommandArguments, ExitCode, type ICommand, UsageError } from '../common/command.js';
 import { UnreachableError } from './operatorConnection.js';
 import { print, table } from './output.js';
@@ -46,7 +46,7 @@
 }
 
 async function list(args: CommandArguments): Promise<ExitCode> {
-	const { status, body } = await ask('GET', controlUrl(args) + QUARANTINE_PAGE);
+	const { status, body } = await ask('GET', controlUrl(args) + QUARANTINE_PATH);
 	if (status !== STATUS_OK) {
 		throw new UnreachableError(`control answered ${status}`);
 	}
@@ -59,7 +59,7 @@
 	if (digest === undefined || !DIGEST_PATTERN.test(digest)) {
 		throw new UsageError(`DIGEST '${digest ?? ''}' is not allowed; allowed: 43 letters, digits, - and _, as listed`);
 	}
-	const { status, body } = await ask('DELETE', `${controlUrl(args)}${QUARANTINE_PAGE}/${digest}`);
+	const { status, body } = await ask('DELETE', `${controlUrl(args)}${QUARANTINE_PATH}/${digest}`);
 	if (status !== STATUS_OK && status !== STATUS_UNKNOWN) {
 		throw new UnreachableError(`control answered ${status}; the request may or may not be let in`);
 	}
--- a/src/plugins/fleet/common/controlOrder.ts
+++ b/src/plugins/fleet/common/controlSelector.ts
@@ -32,7 +32,7 @@
 }
 
 /** Ranks control instances by distance and recent failures. Does no I/O; callers pass the time. */
-export class ControlOrder {
+export class ControlSelector {
 	/** Address and distance of each control instance, nearest first. */
 	private _rankedAddresses: readonly (readonly [string, Distance])[] = [];
 	private readonly _failedAt = new Map<string, Millis>();
@@ -46,7 +46,7 @@
 	) {}
 
 	/** Address of the control instance in use; undefined while none gives current responses. */
-	get settledOn(): string | undefined {
+	get activeAddress(): string | undefined {
 		return this._activeAddress;
 	}
 
@@ -54,7 +54,7 @@
 	 * Replaces the known control instances.
 	 * @param seeds configured addresses, whose location is unknown
 	 */
-	learn(controls: readonly ControlAddress[], seeds: readonly string[]): void {
+	setControls(controls: readonly ControlAddress[], seeds: readonly string[]): void {
 		const distances = new Map<string, Distance>(seeds.map(address => [address, Distance.Unknown]));
 		controls.forEach(control => distances.set(control.address, this._distanceOf(control)));
 		// Rendezvous hashing by entry name spreads the entry instances over control instances at the same distance.
@@ -70,7 +70,7 @@
 	}
 
 	/** All addresses: the one in use first, then by distance, those that failed recently last. */
-	inOrder(now: Millis): readonly string[] {
+	addressesByPreference(now: Millis): readonly string[] {
 		const addresses = this._rankedAddresses.map(([address]) => address);
 		const backingOff = new Set(addresses.filter(address => this._isBackingOff(address, now)));
 		const isActive = (address: string): boolean => address === this._activeAddress;
@@ -79,7 +79,7 @@
 	}
 
 	/** An available control instance nearer than the one in use, if a retry is due; starts the next retry interval. */
-	takeNearer(now: Millis): string | undefined {
+	takeNearerCandidate(now: Millis): string | undefined {
 		const nearest = this._nearestAvailable(now);
 		const isNearer =
 			nearest !== undefined &&
@@ -93,7 +93,7 @@
 	}
 
 	/** Records a current response, which may have been late; uses this control instance unless the one in use is nearer. */
-	noteCurrent(address: string): void {
+	recordCurrentAnswer(address: string): void {
 		this._failedAt.delete(address);
 		if (this._activeAddress === undefined || this._distanceTo(address) <= this._distanceTo(this._activeAddress)) {
 			this._activeAddress = address;
@@ -101,7 +101,7 @@
 	}
 
 	/** Records that there was no response in time, or that it was not current. */
-	noteFailure(address: string, now: Millis): void {
+	recordFailedRequest(address: string, now: Millis): void {
 		this._failedAt.set(address, now);
 		if (this._activeAddress === address) {
 			this._activeAddress = undefined;
--- a/src/plugins/fleet/common/entryLookUp.ts
+++ b/src/plugins/fleet/common/entryLookUp.ts
@@ -15,7 +15,7 @@
  * The ready entry instances of the caller's region, or those of all regions if the region has too few.
  * @param entries live entry instances
  */
-export function entriesFor(entries: readonly EntryDescription[], region: string): EntryDescription[] {
+export function selectEntries(entries: readonly EntryDescription[], region: string): EntryDescription[] {
 	const ready = entries.filter(entry => entry.isReady);
 	const inRegion = ready.filter(entry => entry.region === region);
 	const regionCount = new Set(ready.map(entry => entry.region)).size;
@@ -29,7 +29,7 @@
  * @param reported instances that have reported since the start
  * @param remembered instances that were known before the start
  */
-export function withRemembered(
+export function mergeRemembered(
 	reported: readonly EntryDescription[],
 	remembered: readonly EntryDescription[]
 ): EntryDescription[] {
@@ -48,12 +48,12 @@
  * Whether a control instance whose observations are not complete since its start may answer look-ups.
  * @param remembered instances that were known before the start
  */
-export function mayNameHeard(remembered: readonly EntryDescription[], uptimeMs: Millis): boolean {
+export function canAnswerLookUps(remembered: readonly EntryDescription[], uptimeMs: Millis): boolean {
 	return remembered.length > 0 || uptimeMs > STARTUP_WAIT_MS;
 }
 
 /** Slots needed by the callers of each region, summed over its entry instances. */
-export function sumDemand(entries: readonly EntryDescription[]): RegionDemand {
+export function sumDemandByRegion(entries: readonly EntryDescription[]): RegionDemand {
 	const sums: Record<string, Record<string, number>> = {};
 	for (const entry of entries) {
 		for (const [service, slots] of Object.entries(entry.demand)) {
--- a/src/plugins/fleet/common/fleetSession.ts
+++ b/src/plugins/fleet/common/fleetSession.ts
@@ -6,10 +6,10 @@
 
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
-import type { ToldLimit } from './fleetWire.js';
+import type { ReportedLimit } from './fleetWire.js';
 import type { FleetView } from './fleetView.js';
-import type { SeenRun } from './quarantineTypes.js';
-import type { WorkByTarget } from './targetNeeds.js';
+import type { ObservedLostRun } from './quarantineTypes.js';
+import type { WorkByTarget } from './requestedWork.js';
 
 /** Keeps the fleet view up to date and reports to the control instances. */
 export interface IFleetSession {
@@ -21,13 +21,13 @@
 	/** Sets the number of slots that this instance's callers need, by service; sent with the next sync. */
 	setDemand(demand: Readonly<Record<string, number>>): void;
 	/** Adds work requested at the first-choice targets of the requested objects; sent with the next sync. */
-	addNeeds(needs: WorkByTarget): void;
+	addRequestedWork(needs: WorkByTarget): void;
 	/** Reports a lost run: a request whose target stopped while executing it. Sent at once, and retried until acknowledged. */
-	reportRun(run: SeenRun): void;
+	reportRun(run: ObservedLostRun): void;
 	/** Reports that a target answered a suspected or quarantined request; sent like a lost run. */
 	reportAnswer(digest: string): void;
 	/** Sets the target limits that are missing from the replicated records; sent with each sync, and at once if `hasChanged`. */
-	tellLimits(limits: readonly ToldLimit[], hasChanged: boolean): void;
+	reportLimits(limits: readonly ReportedLimit[], hasChanged: boolean): void;
 	/** Sets whether this instance accepts callers; sent at once. */
 	setReady(isReady: boolean): void;
 }
--- a/src/plugins/fleet/common/fleetState.ts
+++ b/src/plugins/fleet/common/fleetState.ts
@@ -83,7 +83,7 @@
 	}
 
 	/** Id of the last target to register at an address; undefined if there is none or it is gone. */
-	holderOf(address: string): string | undefined {
+	targetIdAt(address: string): string | undefined {
 		const target = this._targets.get(this._targetIdsByAddress.get(address) ?? '');
 		const isRegistered = target?.address === address && target.phase !== TargetPhase.Gone;
 		return isRegistered ? target.id : undefined;
--- a/src/plugins/fleet/common/fleetView.ts
+++ b/src/plugins/fleet/common/fleetView.ts
@@ -8,7 +8,7 @@
 import { Emitter } from '../../../base/event.js';
 import { RouteIndex } from '../../routes/common/routeIndex.js';
 import { type FleetChanges, type FleetRevision, TargetPhase, type TargetRecord } from './fleetTypes.js';
-import { KnownQuarantine } from './knownQuarantine.js';
+import { QuarantineView } from './quarantineView.js';
 import type { RegionDemand, SyncResponse } from './fleetWire.js';
 
 /** A target as seen by the placement of requests. */
@@ -26,7 +26,7 @@
 }
 
 /** Reachability of targets as observed by this instance's own requests. */
-export interface ITargetWitness {
+export interface ITargetReachability {
 	/** When a target last answered; undefined if never. */
 	answeredAt(id: string): Millis | undefined;
 	/** When a connection attempt to a target last failed; undefined if never. */
@@ -42,10 +42,10 @@
 /** The fleet as seen by one entry instance. */
 export class FleetView {
 	/** Suspected and quarantined requests. */
-	readonly quarantine = new KnownQuarantine();
+	readonly quarantine = new QuarantineView();
 	private readonly _onDidRestartTarget = new Emitter<TargetRecord>();
 	/** Fires with the record of the previous incarnation when a target has restarted under the same id. */
-	readonly onDidOutlive = this._onDidRestartTarget.event;
+	readonly onDidRestartTarget = this._onDidRestartTarget.event;
 	private _revision: FleetRevision = 0;
 	private _routes?: RouteIndex;
 	private _drainedHalls = new Set<string>();
@@ -59,7 +59,7 @@
 	private _demand: RegionDemand = {};
 	private _isComplete = false;
 	private _contradictedRegions: ReadonlySet<string> = new Set();
-	private _reachability?: ITargetWitness;
+	private _reachability?: ITargetReachability;
 
 	/** @param _regionOf region of a data hall; undefined for an unknown hall */
 	constructor(private readonly _regionOf: (hall: string) => string | undefined) {}
@@ -84,7 +84,7 @@
 	 * counts fewer instances, and their shares must not grow. Before the first complete response it may be too low; waiting for
 	 * that response would mean rejecting callers.
 	 */
-	get mostEntries(): number {
+	get peakEntryCount(): number {
 		return this._peakEntryCount;
 	}
 
@@ -155,7 +155,7 @@
 	}
 
 	/** Sets the source of reachability observations. */
-	setWitness(reachability: ITargetWitness): void {
+	setReachability(reachability: ITargetReachability): void {
 		this._reachability = reachability;
 	}
 
--- a/src/plugins/fleet/common/fleetWire.ts
+++ b/src/plugins/fleet/common/fleetWire.ts
@@ -15,8 +15,8 @@
 	Heartbeat,
 	PublishedTable
 } from './fleetTypes.js';
-import type { KnownRequests, RunReport } from './quarantineTypes.js';
-import type { CrowdedTarget, WorkByTarget } from './targetNeeds.js';
+import type { QuarantineSnapshot, RunReport } from './quarantineTypes.js';
+import type { CrowdedTarget, WorkByTarget } from './requestedWork.js';
 
 /** An entry instance reports itself and asks for changes. */
 export interface SyncRequest {
@@ -24,7 +24,7 @@
 	/** Work requested by its callers at the first-choice targets of the requested objects, since the last call. */
 	readonly needs: WorkByTarget;
 	/** Limits that targets set or removed in responses to this instance and that are not in their records yet. */
-	readonly limits: readonly ToldLimit[];
+	readonly limits: readonly ReportedLimit[];
 	/** Revision of the quarantine that the entry instance holds; 0 for none. */
 	readonly quarantineRevision: number;
 	/** How long the control instance may wait for a change before it responds. */
@@ -32,7 +32,7 @@
 }
 
 /** A limit that one incarnation of a target declared for all instances together. */
-export interface ToldLimit {
+export interface ReportedLimit {
 	readonly id: string;
 	readonly bornAt: number;
 	/** Requests per second; `null` if the target no longer declares a limit. */
@@ -64,7 +64,7 @@
 export interface SyncResponse {
 	readonly changes: FleetChanges;
 	/** Suspected and quarantined requests; present if the caller's revision of them is older. */
-	readonly quarantine?: KnownRequests;
+	readonly quarantine?: QuarantineSnapshot;
 	readonly controls: readonly ControlAddress[];
 	/** How long ago the responding control instance was known to be current. */
 	readonly contactAgeMs: Millis;
--- a/src/plugins/fleet/common/lossOrder.ts
+++ b/src/plugins/fleet/common/independentLossFilter.ts
@@ -8,7 +8,7 @@
  */
 
 import type { Millis } from '../../../base/clock.js';
-import type { ToldRun } from './quarantineTypes.js';
+import type { ReportedLostRun } from './quarantineTypes.js';
 
 /** Number of requests tracked; above it the oldest is evicted, and the next lost run of that request always counts. */
 const MAX_REQUESTS = 2048;
@@ -29,11 +29,11 @@
 }
 
 /** Tracks the last counted loss of each request. Does no I/O; callers pass the time. */
-export class LossOrder {
+export class IndependentLossFilter {
 	private readonly _lastByDigest = new Map<string, RecordedLoss>();
 
 	/** Returns whether a lost run counts, and records it if so; a repeated report of the last recorded run is accepted again. */
-	admits(run: ToldRun, now: Millis): boolean {
+	recordIfIndependent(run: ReportedLostRun, now: Millis): boolean {
 		const { digest, requestId, targetId } = run;
 		const last = this._lastByDigest.get(digest);
 		if (last?.requestId === requestId && last.targetId === targetId) {
@@ -60,7 +60,7 @@
  * Whether a run was sent after the recorded loss. If it is the next attempt of the same request, or was sent while the request
  * was already suspected, that is known without comparing times, and only simultaneous stops are excluded.
  */
-function isIndependent(run: ToldRun, last: RecordedLoss, sentAt: Millis, endedAt: Millis): boolean {
+function isIndependent(run: ReportedLostRun, last: RecordedLoss, sentAt: Millis, endedAt: Millis): boolean {
 	if (sentAt >= last.endedAt + MAX_REPORT_SKEW_MS) {
 		return true;
 	}
--- a/src/plugins/fleet/common/sightings.ts
+++ b/src/plugins/fleet/common/livenessTracker.ts
@@ -14,9 +14,9 @@
 /** Times without a report after which an instance counts as lost. */
 export interface LivenessTimeouts {
 	/** An entry instance without a report for longer than this is no longer live. */
-	readonly entrySilentMs: Millis;
+	readonly entryTimeoutMs: Millis;
 	/** A target whose last heartbeat is older than this is reported silent. */
-	readonly targetSilentMs: Millis;
+	readonly heartbeatTimeoutMs: Millis;
 }
 
 /** Time within which a heartbeat of a running target arrives: they are sent every 1.5 s and may need a retry. */
@@ -46,7 +46,7 @@
 }
 
 /** Tracks which entry instances and targets are live. */
-export class Sightings {
+export class LivenessTracker {
 	private readonly _entries = new Map<string, ObservedEntry>();
 	private readonly _targets = new Map<string, ObservedTarget>();
 
@@ -57,7 +57,7 @@
 	) {}
 
 	/** Records a report that an entry instance sent to this control instance. */
-	seeEntry(description: EntryDescription, now: Millis): void {
+	recordEntry(description: EntryDescription, now: Millis): void {
 		if (!this._isOutdatedEntry(description)) {
 			const { lastSent } = this._entries.get(description.name) ?? {};
 			this._entries.set(description.name, { description, seenAt: now, isUnsent: true, lastSent });
@@ -68,7 +68,7 @@
 	 * Records a heartbeat that a target sent to this control instance.
 	 * @returns false if a later one has been observed
 	 */
-	seeHeartbeat(heartbeat: Heartbeat, now: Millis): boolean {
+	recordHeartbeat(heartbeat: Heartbeat, now: Millis): boolean {
 		const { id, bornAt, sequence, coldLeftMs } = heartbeat;
 		if (this._isOutdatedHeartbeat(heartbeat)) {
 			return false;
@@ -78,12 +78,12 @@
 	}
 
 	/** When the latest heartbeat of a target was observed; undefined if none was. */
-	heardAt(id: string): Millis | undefined {
+	lastHeartbeatAt(id: string): Millis | undefined {
 		return this._targets.get(id)?.seenAt;
 	}
 
 	/** Drops the observations of a target that is gone. */
-	forgetTarget(id: string): void {
+	dropTarget(id: string): void {
 		this._targets.delete(id);
 	}
 
@@ -94,7 +94,7 @@
 	}
 
 	/** Observations of this instance to send to the others; returns each one once. */
-	takeFresh(now: Millis): Pick<ExchangeRequest, 'entries' | 'heartbeats'> {
+	takeUnsent(now: Millis): Pick<ExchangeRequest, 'entries' | 'heartbeats'> {
 		const entries: EntryObservation[] = [];
 		for (const seen of this._entries.values()) {
 			if (seen.isUnsent && isRelayDue(seen, now)) {
@@ -121,9 +121,9 @@
 	liveEntries(now: Millis): EntryDescription[] {
 		const live: EntryDescription[] = [];
 		for (const [name, seen] of this._entries) {
-			if (now - seen.seenAt <= this._timeouts.entrySilentMs) {
+			if (now - seen.seenAt <= this._timeouts.entryTimeoutMs) {
 				live.push(seen.description);
-			} else if (now - seen.seenAt > this._timeouts.entrySilentMs * 10) {
+			} else if (now - seen.seenAt > this._timeouts.entryTimeoutMs * 10) {
 				this._entries.delete(name);
 			}
 		}
@@ -131,14 +131,14 @@
 	}
 
 	/** When an entry instance last reported; undefined if never, or if it was dropped. */
-	entryHeardAt(name: string): Millis | undefined {
+	entryLastSeenAt(name: string): Millis | undefined {
 		return this._entries.get(name)?.seenAt;
 	}
 
 	/** Whether all live entry instances have applied a revision. */
-	isInForce(revision: FleetRevision, now: Millis): boolean {
+	isAppliedByLiveEntries(revision: FleetRevision, now: Millis): boolean {
 		for (const { description, seenAt } of this._entries.values()) {
-			if (now - seenAt <= this._timeouts.entrySilentMs && description.revision < revision) {
+			if (now - seenAt <= this._timeouts.entryTimeoutMs && description.revision < revision) {
 				return false;
 			}
 		}
@@ -151,7 +151,7 @@
 	 */
 	isSilent(id: string, now: Millis, completeSince: Millis = Number.NEGATIVE_INFINITY): boolean {
 		const seenAt = this._targets.get(id)?.seenAt ?? this._startedAt;
-		return now - seenAt > this._timeouts.targetSilentMs && now - completeSince > REOBSERVE_MS;
+		return now - seenAt > this._timeouts.heartbeatTimeoutMs && now - completeSince > REOBSERVE_MS;
 	}
 
 	/** Targets that are still cold, and for how long. */
--- a/src/plugins/fleet/common/hearingClock.ts
+++ b/src/plugins/fleet/common/observationCompleteness.ts
@@ -16,12 +16,12 @@
 const MAX_RETENTION_MS = 20000;
 
 /** Times at which the observations of this instance were complete. */
-export class HearingClock {
+export class ObservationCompleteness {
 	private _connectedSince: Millis | undefined;
 	private _lastCompleteAt: Millis | undefined;
 
 	/** Sets whether the instance is connected to the leader and to most other control instances; call several times a second. */
-	note(isConnected: boolean, now: Millis): void {
+	setConnected(isConnected: boolean, now: Millis): void {
 		if (!isConnected) {
 			this._connectedSince = undefined;
 			return;
@@ -33,7 +33,7 @@
 	}
 
 	/** Since when observations have been complete without interruption; undefined if they are not. */
-	get hearingSince(): Millis | undefined {
+	get completeSince(): Millis | undefined {
 		return this._connectedSince !== undefined &&
 			this._connectedSince + EXCHANGE_SETTLE_MS <= (this._lastCompleteAt ?? Number.NEGATIVE_INFINITY)
 			? this._connectedSince + EXCHANGE_SETTLE_MS
@@ -41,7 +41,7 @@
 	}
 
 	/** When observations were last complete; undefined if never, or too long ago to be used. */
-	heardAllAt(now: Millis): Millis | undefined {
+	lastCompleteAt(now: Millis): Millis | undefined {
 		const isRetained = this._lastCompleteAt !== undefined && now - this._lastCompleteAt <= MAX_RETENTION_MS;
 		return isRetained ? this._lastCompleteAt : undefined;
 	}
--- a/src/plugins/fleet/common/paceShare.ts
+++ b/src/plugins/fleet/common/paceShare.ts
@@ -25,7 +25,7 @@
 	) {}
 
 	/** The share, 0 to 1; 0 if this instance must not send. */
-	of({ pacedSenders }: TargetRecord): number {
+	fractionFor({ pacedSenders }: TargetRecord): number {
 		const isSender = pacedSenders.includes(this._instanceName) && this._viewAgeMs() <= PACE_LEASE_MS;
 		return isSender ? 1 / pacedSenders.length : 0;
 	}
--- a/src/plugins/fleet/common/pacedSenders.ts
+++ b/src/plugins/fleet/common/pacedSenders.ts
@@ -19,7 +19,7 @@
  * @param region the target's region
  * @param entries live entry instances
  */
-export function drawPacedSenders(targetId: string, region: string, entries: readonly EntryDescription[]): string[] {
+export function selectPacedSenders(targetId: string, region: string, entries: readonly EntryDescription[]): string[] {
 	return selectReady(
 		targetId,
 		entries.filter(entry => entry.region === region)
@@ -27,7 +27,7 @@
 }
 
 /** Selects senders from all regions, for a target whose region is unknown or has no ready entry instances. */
-export function drawSendersAnywhere(targetId: string, entries: readonly EntryDescription[]): string[] {
+export function selectPacedSendersFromAnyRegion(targetId: string, entries: readonly EntryDescription[]): string[] {
 	return selectReady(targetId, entries);
 }
 
--- a/src/plugins/fleet/common/quarantineState.ts
+++ b/src/plugins/fleet/common/quarantineState.ts
@@ -6,7 +6,7 @@
 
 import { Emitter } from '../../../base/event.js';
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
-import type { CountedRun, KnownRequests, QuarantineRecord } from './quarantineTypes.js';
+import type { CountedLostRun, QuarantineSnapshot, QuarantineRecord } from './quarantineTypes.js';
 import { RequestQuarantine } from './requestQuarantine.js';
 
 /** Id of this part of the replicated state. */
@@ -15,7 +15,7 @@
 /** Records lost runs: executions during which the target terminated. */
 export interface NoteRunsCommand {
 	readonly type: 'noteRuns';
-	readonly runs: readonly CountedRun[];
+	readonly runs: readonly CountedLostRun[];
 }
 
 /** Clears requests that a target answered or an operator released. */
@@ -35,14 +35,14 @@
 /** Applies quarantine commands and keeps the resulting snapshot. */
 export class QuarantineState implements IReplicatedPart {
 	readonly id = QUARANTINE_PART;
-	private readonly _onDidChange = new Emitter<KnownRequests>();
+	private readonly _onDidChange = new Emitter<QuarantineSnapshot>();
 	/** Fires with the new snapshot when the suspected or quarantined requests change. */
 	readonly onDidChange = this._onDidChange.event;
 	private readonly _requests = new RequestQuarantine();
-	private _snapshot: KnownRequests = { revision: 0, records: [] };
+	private _snapshot: QuarantineSnapshot = { revision: 0, records: [] };
 
 	/** The suspected and quarantined requests; the revision increases with every change. */
-	get known(): KnownRequests {
+	get snapshot(): QuarantineSnapshot {
 		return this._snapshot;
 	}
 
@@ -68,14 +68,14 @@
 	private _execute(command: QuarantineCommand): boolean {
 		switch (command.type) {
 			case 'noteRuns':
-				return command.runs.filter(run => this._requests.note(run)).length > 0;
+				return command.runs.filter(run => this._requests.recordRun(run)).length > 0;
 			case 'clearRequests':
 				return command.digests.filter(digest => this._requests.clear(digest)).length > 0;
 		}
 	}
 
 	private _publish(revision: number): void {
-		this._snapshot = { revision, records: this._requests.known };
+		this._snapshot = { revision, records: this._requests.activeRecords };
 		this._onDidChange.fire(this._snapshot);
 	}
 }
--- a/src/plugins/fleet/common/quarantineTypes.ts
+++ b/src/plugins/fleet/common/quarantineTypes.ts
@@ -21,7 +21,7 @@
 }
 
 /** A lost run as stored in the replicated state. */
-export interface FatalRun {
+export interface LostRun {
 	/** Id of the caller's attempt. */
 	readonly requestId: string;
 	readonly targetId: string;
@@ -32,17 +32,17 @@
 	/** Team of the caller; empty for a caller of no team. */
 	readonly team: string;
 	/** Counted lost runs, oldest first. */
-	readonly runs: readonly FatalRun[];
+	readonly runs: readonly LostRun[];
 }
 
 /** A lost run to be counted for its request. */
-export interface CountedRun extends RequestIdentity, FatalRun {
+export interface CountedLostRun extends RequestIdentity, LostRun {
 	/** Team of the caller; empty for a caller of no team. */
 	readonly team: string;
 }
 
 /** A lost run as reported by the entry instance that sent the request; times are relative to when the report is sent. */
-export interface ToldRun extends CountedRun {
+export interface ReportedLostRun extends CountedLostRun {
 	/** Whether the instance already knew the request as suspected when sending it, and so sent it after the runs counted so far. */
 	readonly wasSuspected: boolean;
 	/** Target of the previous lost run of the same attempt; undefined if there was none. */
@@ -54,7 +54,7 @@
 }
 
 /** A lost run with times on the monotonic clock of the entry instance that observed it. */
-export interface SeenRun extends Omit<ToldRun, 'sentAgoMs' | 'endedAgoMs'> {
+export interface ObservedLostRun extends Omit<ReportedLostRun, 'sentAgoMs' | 'endedAgoMs'> {
 	/** When the request was sent to the target. */
 	readonly sentAt: Millis;
 	/** When the target terminated. */
@@ -62,12 +62,12 @@
 }
 
 /** Converts to relative times; `now` is on the same monotonic clock as the run. */
-export function told({ sentAt, endedAt, ...run }: SeenRun, now: Millis): ToldRun {
+export function toReportedRun({ sentAt, endedAt, ...run }: ObservedLostRun, now: Millis): ReportedLostRun {
 	return { ...run, sentAgoMs: now - sentAt, endedAgoMs: now - endedAt };
 }
 
 /** All suspected and quarantined requests at one revision. */
-export interface KnownRequests {
+export interface QuarantineSnapshot {
 	/** Increases with every change; 0 before the first. */
 	readonly revision: number;
 	readonly records: readonly QuarantineRecord[];
@@ -75,21 +75,21 @@
 
 /** What an entry instance reports about requests. */
 export interface RunReport {
-	readonly endedRuns: readonly ToldRun[];
+	readonly endedRuns: readonly ReportedLostRun[];
 	/** Digests of suspected requests that a target answered. */
 	readonly answered: readonly string[];
 }
 
 /** Number of counted lost runs from which a request is suspected. */
-export const RUNS_TO_SUSPECT = 2;
+export const SUSPICION_THRESHOLD = 2;
 /** Number from which it is quarantined; callers' contracts allow a request to terminate at most three targets. */
-export const RUNS_TO_QUARANTINE = 3;
+export const QUARANTINE_THRESHOLD = 3;
 
 /** Derives the phase from the number of counted lost runs. */
 export function phaseOf(record: Pick<QuarantineRecord, 'runs'> | undefined): QuarantinePhase {
 	const count = record?.runs.length ?? 0;
-	if (count < RUNS_TO_SUSPECT) {
+	if (count < SUSPICION_THRESHOLD) {
 		return QuarantinePhase.Clear;
 	}
-	return count < RUNS_TO_QUARANTINE ? QuarantinePhase.Suspected : QuarantinePhase.Quarantined;
+	return count < QUARANTINE_THRESHOLD ? QuarantinePhase.Suspected : QuarantinePhase.Quarantined;
 }
--- a/src/plugins/fleet/common/knownQuarantine.ts
+++ b/src/plugins/fleet/common/quarantineView.ts
@@ -5,10 +5,10 @@
 /** An entry instance's copy of the suspected and quarantined requests. */
 
 import { Emitter } from '../../../base/event.js';
-import { type KnownRequests, phaseOf, QuarantinePhase, type QuarantineRecord } from './quarantineTypes.js';
+import { type QuarantineSnapshot, phaseOf, QuarantinePhase, type QuarantineRecord } from './quarantineTypes.js';
 
 /** The latest snapshot received from a control instance. */
-export class KnownQuarantine {
+export class QuarantineView {
 	private readonly _onDidClear = new Emitter<string>();
 	/** Fires with the digest of each request that left the snapshot: a target answered it, an operator released it, or it was evicted. */
 	readonly onDidClear = this._onDidClear.event;
@@ -22,7 +22,7 @@
 	}
 
 	/** Replaces the snapshot; one that is not newer than the current revision is ignored. */
-	apply({ revision, records }: KnownRequests): void {
+	apply({ revision, records }: QuarantineSnapshot): void {
 		if (revision <= this._revision) {
 			return;
 		}
@@ -43,7 +43,7 @@
 	}
 
 	/** Whether a request for this host and path may be listed; if not, its digest need not be computed. */
-	mayKnow(pathHash: number): boolean {
+	mayContain(pathHash: number): boolean {
 		return this._pathHashes.has(pathHash);
 	}
 
--- a/src/plugins/fleet/common/requestQuarantine.ts
+++ b/src/plugins/fleet/common/requestQuarantine.ts
@@ -8,11 +8,11 @@
  */
 
 import {
-	type CountedRun,
+	type CountedLostRun,
 	phaseOf,
 	QuarantinePhase,
 	type QuarantineRecord,
-	RUNS_TO_QUARANTINE
+	QUARANTINE_THRESHOLD
 } from './quarantineTypes.js';
 
 /**
@@ -35,12 +35,12 @@
 	}
 
 	/** The record of a request; undefined if it has no lost runs. */
-	record(digest: string): QuarantineRecord | undefined {
+	get(digest: string): QuarantineRecord | undefined {
 		return this._records.get(digest);
 	}
 
 	/** Suspected and quarantined requests, least recently changed first. */
-	get known(): readonly QuarantineRecord[] {
+	get activeRecords(): readonly QuarantineRecord[] {
 		return [...this._records.values()].filter(isActive);
 	}
 
@@ -59,11 +59,11 @@
 	 * Records a lost run; a run that is already recorded is ignored.
 	 * @returns whether the suspected or quarantined requests changed
 	 */
-	note(run: CountedRun): boolean {
+	recordRun(run: CountedLostRun): boolean {
 		const { digest, pathHash, team, requestId, targetId } = run;
 		const runs = this._records.get(digest)?.runs ?? [];
 		const isRecorded = runs.some(other => other.requestId === requestId && other.targetId === targetId);
-		if (isRecorded || runs.length >= RUNS_TO_QUARANTINE) {
+		if (isRecorded || runs.length >= QUARANTINE_THRESHOLD) {
 			return false;
 		}
 		this._records.delete(digest);
--- a/src/plugins/fleet/common/targetNeeds.ts
+++ b/src/plugins/fleet/common/requestedWork.ts
@@ -45,13 +45,13 @@
 }
 
 /** Work requested at each target. Does no I/O; callers pass the time. */
-export class TargetNeeds {
+export class RequestedWork {
 	private readonly _sums = new Map<string, DecayingSum>();
 	private _unsent = new Map<string, number>();
 	private _keptParts = new Map<string, number>();
 
 	/** Adds work that an entry instance reported to this control instance. */
-	note(work: WorkByTarget, now: Millis): void {
+	addReported(work: WorkByTarget, now: Millis): void {
 		for (const [id, added] of Object.entries(work)) {
 			this._unsent.set(id, (this._unsent.get(id) ?? 0) + added);
 		}
@@ -66,7 +66,7 @@
 	}
 
 	/** Work reported to this control instance since the last call. */
-	takeFresh(): WorkByTarget {
+	takeUnsent(): WorkByTarget {
 		const unsent = Object.fromEntries(this._unsent);
 		this._unsent = new Map();
 		return unsent;
@@ -88,7 +88,7 @@
 	 * @param targets all targets
 	 * @param regionOf region of a data hall
 	 */
-	crowded(targets: Iterable<TargetRecord>, regionOf: (hall: string) => string, now: Millis): CrowdedTarget[] {
+	findCrowded(targets: Iterable<TargetRecord>, regionOf: (hall: string) => string, now: Millis): CrowdedTarget[] {
 		const serving = [...targets].filter(({ phase }) => phase === TargetPhase.Serving);
 		const groupOf = ({ service, hall }: TargetRecord): string => `${service} ${regionOf(hall)}`;
 		const meanUtilizations = this._meanUtilizations(serving, groupOf, now);
--- a/src/plugins/fleet/common/earlierLives.ts
+++ b/src/plugins/fleet/common/staleHeartbeatFilter.ts
@@ -27,7 +27,7 @@
 }
 
 /** Detects stale heartbeats by the owner of their address. */
-export class EarlierLives {
+export class StaleHeartbeatFilter {
 	/** When the first heartbeat of each unconfirmed target arrived, by id. */
 	private readonly _firstHeartbeatAt = new Map<string, Millis>();
 
--- a/src/plugins/fleet/common/viewAge.ts
+++ b/src/plugins/fleet/common/viewAge.ts
@@ -31,7 +31,7 @@
 	}
 
 	/** Call right before sending a request to a control instance. */
-	ask(): RequestTimestamp {
+	timestampRequest(): RequestTimestamp {
 		this._checkSuspension();
 		return { at: this._clock.now(), suspensionCount: this._suspensionCount };
 	}
@@ -42,7 +42,7 @@
 	 * @param waitMs how long the control instance was allowed to wait before it responded
 	 * @param contactAgeMs age of the data when the response was sent
 	 */
-	noteCurrent(request: RequestTimestamp, waitMs: Millis, contactAgeMs: Millis): void {
+	recordCurrentAnswer(request: RequestTimestamp, waitMs: Millis, contactAgeMs: Millis): void {
 		this._checkSuspension();
 		if (request.suspensionCount === this._suspensionCount) {
 			const now = this._clock.now();
--- a/src/plugins/fleet/node/fleetCommandClient.ts
+++ b/src/plugins/fleet/node/fleetCommandClient.ts
@@ -17,7 +17,7 @@
 	type PublishedTable
 } from '../common/fleetTypes.js';
 import { orderMethod, readTableMethod, type ReadTableResponse } from '../common/fleetWire.js';
-import type { Sightings } from '../common/sightings.js';
+import type { LivenessTracker } from '../common/livenessTracker.js';
 
 const LEADER_CALL_TIMEOUT_MS = 800;
 /**
@@ -38,7 +38,7 @@
 		private readonly _calls: IPeerCalls,
 		private readonly _agreement: IAgreement,
 		private readonly _state: FleetState,
-		private readonly _liveness: Sightings
+		private readonly _liveness: LivenessTracker
 	) {
 		_calls.handleUnary(orderMethod, async request => ({ result: await this._commitIfLeader(request.command) }));
 		_calls.handleUnary(readTableMethod, async () => this._readIfLeader());
@@ -132,7 +132,7 @@
 	private async _waitUntilApplied(revision: FleetRevision, deadline: Millis): Promise<void> {
 		for (;;) {
 			const now = systemClock.now();
-			if (this._liveness.isInForce(revision, now) || now >= deadline) {
+			if (this._liveness.isAppliedByLiveEntries(revision, now) || now >= deadline) {
 				return;
 			}
 			await new Promise(resolve => setTimeout(resolve, APPLY_POLL_INTERVAL_MS));
--- a/src/plugins/fleet/node/fleetControlTask.ts
+++ b/src/plugins/fleet/node/fleetControlTask.ts
@@ -14,7 +14,7 @@
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import type { Team } from '../../routes/common/routeTable.js';
 import { IAgreement } from '../../agreement/common/agreement.js';
-import { entriesFor, mayNameHeard, sumDemand, withRemembered } from '../common/entryLookUp.js';
+import { selectEntries, canAnswerLookUps, sumDemandByRegion, mergeRemembered } from '../common/entryLookUp.js';
 import { FleetUnavailableError, type IFleetControl, type TargetHeartbeat } from '../common/fleetControl.js';
 import { FleetState } from '../common/fleetState.js';
 import {
@@ -31,12 +31,12 @@
 	type SyncRequest,
 	type SyncResponse
 } from '../common/fleetWire.js';
-import { HearingClock } from '../common/hearingClock.js';
+import { ObservationCompleteness } from '../common/observationCompleteness.js';
 import type { PlaceSettings } from '../common/placeSettings.js';
 import { QuarantineState } from '../common/quarantineState.js';
 import type { QuarantineRecord } from '../common/quarantineTypes.js';
-import { Sightings } from '../common/sightings.js';
-import { type CrowdedTarget, TargetNeeds } from '../common/targetNeeds.js';
+import { LivenessTracker } from '../common/livenessTracker.js';
+import { type CrowdedTarget, RequestedWork } from '../common/requestedWork.js';
 import { ChangeNotifier } from './changeNotifier.js';
 import { EntryListFile } from './entryListFile.js';
 import { FleetCommandClient } from './fleetCommandClient.js';
@@ -61,16 +61,16 @@
 	private readonly _state = new FleetState();
 	private readonly _quarantine = new QuarantineState();
 	private readonly _startedAt = systemClock.now();
-	private readonly _liveness = new Sightings(
-		{ entrySilentMs: ENTRY_TIMEOUT_MS, targetSilentMs: HEARTBEAT_TIMEOUT_MS },
+	private readonly _liveness = new LivenessTracker(
+		{ entryTimeoutMs: ENTRY_TIMEOUT_MS, heartbeatTimeoutMs: HEARTBEAT_TIMEOUT_MS },
 		this._startedAt
 	);
-	private readonly _offeredLoad = new TargetNeeds();
+	private readonly _offeredLoad = new RequestedWork();
 	/** Targets that are assigned only part of their objects, as computed at the last exchange. */
 	private _crowdedTargets: readonly CrowdedTarget[] = [];
 	private _crowdedLoggedAt: Millis = Number.NEGATIVE_INFINITY;
 	private readonly _changeNotifier = new ChangeNotifier();
-	private readonly _completeness = new HearingClock();
+	private readonly _completeness = new ObservationCompleteness();
 	private readonly _commands: FleetCommandClient;
 	private readonly _registrar: TargetRegistrar;
 	private readonly _quarantineManager: QuarantineManager;
@@ -152,7 +152,7 @@
 
 	quarantine(): readonly QuarantineRecord[] {
 		this._assertConnected();
-		return this._quarantine.known.records;
+		return this._quarantine.snapshot.records;
 	}
 
 	release(digest: string): Promise<boolean> {
@@ -168,15 +168,15 @@
 	lookUp(region: string, _hall: string): EntryDescription[] {
 		const now = systemClock.now();
 		this._updateCompleteness(now);
-		const lastCompleteAt = this._completeness.heardAllAt(now);
-		if (lastCompleteAt === undefined && !mayNameHeard(this._rememberedEntries, now - this._startedAt)) {
+		const lastCompleteAt = this._completeness.lastCompleteAt(now);
+		if (lastCompleteAt === undefined && !canAnswerLookUps(this._rememberedEntries, now - this._startedAt)) {
 			return [];
 		}
 		const entries =
 			lastCompleteAt === undefined
-				? withRemembered(this._liveness.liveEntries(now), this._rememberedEntries)
+				? mergeRemembered(this._liveness.liveEntries(now), this._rememberedEntries)
 				: this._liveness.liveEntries(lastCompleteAt);
-		const selected = entriesFor(entries, region);
+		const selected = selectEntries(entries, region);
 		this._logCrossRegionLookUps(region, selected, entries);
 		return selected;
 	}
@@ -212,7 +212,7 @@
 	}
 
 	private _updateCompleteness(now: Millis): void {
-		this._completeness.note(
+		this._completeness.setConnected(
 			this._agreement.contactAgeMs() <= MAX_FRESH_CONTACT_AGE_MS && this._hasContactWithMajority(now),
 			now
 		);
@@ -229,20 +229,21 @@
 
 	private async _sync(request: SyncRequest): Promise<SyncResponse> {
 		const arrivedAt = systemClock.now();
-		this._liveness.seeEntry(request.entry, arrivedAt);
-		this._offeredLoad.note(request.needs, arrivedAt);
+		this._liveness.recordEntry(request.entry, arrivedAt);
+		this._offeredLoad.addReported(request.needs, arrivedAt);
 		this._limitManager.handleReportedLimits(request.limits ?? []);
 		const isBehind =
-			request.entry.revision !== this._state.revision || request.quarantineRevision < this._quarantine.known.revision;
+			request.entry.revision !== this._state.revision ||
+			request.quarantineRevision < this._quarantine.snapshot.revision;
 		const hasUnsentChange = isBehind && !this._changeNotifier.isNotificationPending;
 		if (!hasUnsentChange && request.waitMs > 0) {
 			await this._changeNotifier.waitForChange(Math.min(request.waitMs, MAX_SYNC_WAIT_MS));
 		}
 		const now = systemClock.now();
 		this._updateCompleteness(now);
-		const hasHeardAll = this._completeness.hearingSince !== undefined;
+		const hasHeardAll = this._completeness.completeSince !== undefined;
 		const entries = this._liveness.liveEntries(now).filter(entry => entry.isReady);
-		const { known: snapshot } = this._quarantine;
+		const { snapshot } = this._quarantine;
 		const regionalEntries = entries.filter(entry => entry.region === request.entry.region);
 		return {
 			changes: this._state.changesAfter(request.entry.revision),
@@ -257,7 +258,7 @@
 			silentTargets: this._silentTargets(now),
 			coldTargets: this._liveness.coldTargets(now),
 			crowdedTargets: this._crowdedTargets,
-			demand: sumDemand(entries)
+			demand: sumDemandByRegion(entries)
 		};
 	}
 
@@ -275,7 +276,7 @@
 
 	private _silentTargets(now: number): string[] {
 		const silent: string[] = [];
-		const { hearingSince: completeSince } = this._completeness;
+		const { completeSince } = this._completeness;
 		if (completeSince === undefined) {
 			return silent;
 		}
@@ -300,15 +301,15 @@
 	private _exchange(): void {
 		const now = systemClock.now();
 		this._updateCompleteness(now);
-		if (this._completeness.heardAllAt(now) === now) {
+		if (this._completeness.lastCompleteAt(now) === now) {
 			const ready = this._liveness.liveEntries(now).filter(entry => entry.isReady);
 			void this._entryListFile.write(ready);
 		}
-		this._limitManager.updateSenders(this._completeness.hearingSince, now);
+		this._limitManager.updateSenders(this._completeness.completeSince, now);
 		const { members, id } = this._agreement.status();
-		const update = { from: id, ...this._liveness.takeFresh(now), needs: this._offeredLoad.takeFresh() };
+		const update = { from: id, ...this._liveness.takeUnsent(now), needs: this._offeredLoad.takeUnsent() };
 		this._updateCrowdedTargets(
-			this._offeredLoad.crowded(this._state.targets, hall => this._regionByHall.get(hall) ?? '', now),
+			this._offeredLoad.findCrowded(this._state.targets, hall => this._regionByHall.get(hall) ?? '', now),
 			now
 		);
 		for (const member of members) {
--- a/src/plugins/fleet/node/fleetSessionTask.ts
+++ b/src/plugins/fleet/node/fleetSessionTask.ts
@@ -19,17 +19,17 @@
 import { ILogService } from '../../../kernel/node/logService.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import type { IFleetSession } from '../common/fleetSession.js';
-import { ControlOrder } from '../common/controlOrder.js';
+import { ControlSelector } from '../common/controlSelector.js';
 import { FleetView } from '../common/fleetView.js';
 import {
 	type ControlAddress,
 	syncMethod,
 	type SyncRequest,
 	type SyncResponse,
-	type ToldLimit
+	type ReportedLimit
 } from '../common/fleetWire.js';
-import type { SeenRun } from '../common/quarantineTypes.js';
-import type { WorkByTarget } from '../common/targetNeeds.js';
+import type { ObservedLostRun } from '../common/quarantineTypes.js';
+import type { WorkByTarget } from '../common/requestedWork.js';
 import { ViewAge } from '../common/viewAge.js';
 import { RunReporter } from './runReporter.js';
 import type { PlaceSettings } from '../common/placeSettings.js';
@@ -54,7 +54,7 @@
 	private readonly _instance: InstanceSettings;
 	private readonly _incarnation = randomUUID();
 	private readonly _callerAddress: string;
-	private readonly _controlSelector: ControlOrder;
+	private readonly _controlSelector: ControlSelector;
 	private readonly _runReporter: RunReporter;
 	/** The control instances, according to the latest response. */
 	private _controls: readonly ControlAddress[] = [];
@@ -62,7 +62,7 @@
 	private _isReady = false;
 	private _demand: Readonly<Record<string, number>> = {};
 	private _offeredLoad = new Map<string, number>();
-	private _limits: readonly ToldLimit[] = [];
+	private _limits: readonly ReportedLimit[] = [];
 	private _isLimitSyncScheduled = false;
 	private readonly _viewAge = new ViewAge();
 	private _isConnected = false;
@@ -78,7 +78,7 @@
 		this._callerAddress = _settings.section<{ callerAddress: string }>('front').callerAddress;
 		const { halls } = _settings.section<PlaceSettings>('places');
 		this.view = new FleetView(hall => halls.get(hall));
-		this._controlSelector = new ControlOrder(this._instance, hall => halls.get(hall));
+		this._controlSelector = new ControlSelector(this._instance, hall => halls.get(hall));
 		this._runReporter = new RunReporter(this._calls, () => this.controlAddresses(), this._log);
 		this._register(toDisposable(() => this._runReporter.stop()));
 		this._register(toDisposable(() => (this._isStopped = true)));
@@ -90,7 +90,7 @@
 	}
 
 	controlAddresses(): readonly string[] {
-		return this._controlSelector.inOrder(systemClock.now());
+		return this._controlSelector.addressesByPreference(systemClock.now());
 	}
 
 	ageMs(): Millis {
@@ -102,12 +102,12 @@
 			return;
 		}
 		this._isReady = isReady;
-		if (this._controlSelector.settledOn !== undefined) {
-			this._sync(this._controlSelector.settledOn, 0).catch(() => undefined);
+		if (this._controlSelector.activeAddress !== undefined) {
+			this._sync(this._controlSelector.activeAddress, 0).catch(() => undefined);
 		}
 	}
 
-	reportRun(run: SeenRun): void {
+	reportRun(run: ObservedLostRun): void {
 		this._runReporter.reportRun(run);
 	}
 
@@ -115,11 +115,11 @@
 		this._runReporter.reportAnswer(digest);
 	}
 
-	tellLimits(limits: readonly ToldLimit[], hasNews: boolean): void {
+	reportLimits(limits: readonly ReportedLimit[], hasNews: boolean): void {
 		this._limits = limits.slice(0, MAX_LIMITS_PER_CALL);
-		if (hasNews && !this._isLimitSyncScheduled && this._controlSelector.settledOn !== undefined) {
+		if (hasNews && !this._isLimitSyncScheduled && this._controlSelector.activeAddress !== undefined) {
 			this._isLimitSyncScheduled = true;
-			const address = this._controlSelector.settledOn;
+			const address = this._controlSelector.activeAddress;
 			setTimeout(() => {
 				this._isLimitSyncScheduled = false;
 				this._sync(address, 0).catch(() => undefined);
@@ -131,7 +131,7 @@
 		this._demand = demand;
 	}
 
-	addNeeds(needs: WorkByTarget): void {
+	addRequestedWork(needs: WorkByTarget): void {
 		for (const [id, work] of Object.entries(needs)) {
 			this._offeredLoad.set(id, (this._offeredLoad.get(id) ?? 0) + work);
 		}
@@ -147,18 +147,18 @@
 	private async _syncLoop(): Promise<void> {
 		while (!this._isStopped) {
 			const now = systemClock.now();
-			if (this._controlSelector.settledOn === undefined) {
+			if (this._controlSelector.activeAddress === undefined) {
 				this._updateControls();
 			}
 			const address = this._controlSelector.next(now);
-			const nearer = this._controlSelector.takeNearer(now);
+			const nearer = this._controlSelector.takeNearerCandidate(now);
 			if (nearer !== undefined) {
 				void this._syncAndSelect(nearer, 0);
 			}
 			if (address !== undefined) {
 				await this._syncWithTimeout(address);
 			}
-			if (this._controlSelector.settledOn === undefined) {
+			if (this._controlSelector.activeAddress === undefined) {
 				await pause(RETRY_PAUSE_MS);
 			}
 		}
@@ -166,7 +166,7 @@
 
 	private async _syncWithTimeout(address: string): Promise<void> {
 		// Without a known age of the view, requests the current state at once instead of waiting for a change.
-		const isWaiting = this._controlSelector.settledOn !== undefined && Number.isFinite(this.ageMs());
+		const isWaiting = this._controlSelector.activeAddress !== undefined && Number.isFinite(this.ageMs());
 		const waitMs = isWaiting ? LONG_POLL_MS : 0;
 		const answered = this._syncAndSelect(address, waitMs);
 		const hasAnswered = await Promise.race([answered, pause(waitMs + RESPONSE_MARGIN_MS)]);
@@ -183,13 +183,13 @@
 		try {
 			const isCurrent = await this._sync(address, waitMs);
 			if (isCurrent) {
-				this._controlSelector.noteCurrent(address);
+				this._controlSelector.recordCurrentAnswer(address);
 			} else {
-				this._controlSelector.noteFailure(address, systemClock.now());
+				this._controlSelector.recordFailedRequest(address, systemClock.now());
 			}
 			return true;
 		} catch {
-			this._controlSelector.noteFailure(address, systemClock.now());
+			this._controlSelector.recordFailedRequest(address, systemClock.now());
 			return false;
 		}
 	}
@@ -197,7 +197,7 @@
 	/** Always includes the configured seeds, since the control instances learned before may all be gone. */
 	private _updateControls(): void {
 		const discovery = this._settings.section<DiscoverySettings>('discovery');
-		this._controlSelector.learn(this._controls, seedPeerAddresses(discovery, this._instance.peerAddress));
+		this._controlSelector.setControls(this._controls, seedPeerAddresses(discovery, this._instance.peerAddress));
 	}
 
 	/** @returns whether the response is current */
@@ -220,12 +220,12 @@
 			quarantineRevision: this.view.quarantine.revision,
 			waitMs
 		};
-		const requestTimestamp = this._viewAge.ask();
+		const requestTimestamp = this._viewAge.timestampRequest();
 		const response = await this._calls.call(address, syncMethod, request, waitMs + LATE_RESPONSE_MARGIN_MS);
 		this._applyResponse(address, response);
 		const isCurrent = response.contactAgeMs < MAX_CONTACT_AGE_MS;
 		if (isCurrent) {
-			this._viewAge.noteCurrent(requestTimestamp, waitMs, response.contactAgeMs);
+			this._viewAge.recordCurrentAnswer(requestTimestamp, waitMs, response.contactAgeMs);
 			this._recordConnection(address);
 		}
 		return isCurrent;
@@ -272,7 +272,7 @@
 	}
 
 	private _recordConnectionLoss(address: string): void {
-		this._controlSelector.noteFailure(address, systemClock.now());
+		this._controlSelector.recordFailedRequest(address, systemClock.now());
 		if (this._isConnected) {
 			this._isConnected = false;
 			this._log.warn('connection to control lost', {
--- a/src/plugins/fleet/node/quarantineManager.ts
+++ b/src/plugins/fleet/node/quarantineManager.ts
@@ -10,22 +10,22 @@
 import type { IAgreement } from '../../agreement/common/agreement.js';
 import { FleetUnavailableError } from '../common/fleetControl.js';
 import { reportRunsMethod } from '../common/fleetWire.js';
-import { LossOrder } from '../common/lossOrder.js';
+import { IndependentLossFilter } from '../common/independentLossFilter.js';
 import { QUARANTINE_PART, type QuarantineCommand, type QuarantineState } from '../common/quarantineState.js';
 import {
-	type CountedRun,
-	type KnownRequests,
+	type CountedLostRun,
+	type QuarantineSnapshot,
 	phaseOf,
 	QuarantinePhase,
 	type RunReport,
-	type ToldRun
+	type ReportedLostRun
 } from '../common/quarantineTypes.js';
 
 const LEADER_CALL_TIMEOUT_MS = 500;
 
 /** Manages quarantined requests at a control instance. */
 export class QuarantineManager {
-	private readonly _lossFilter = new LossOrder();
+	private readonly _lossFilter = new IndependentLossFilter();
 	private _loggedPhases: ReadonlyMap<string, QuarantinePhase> = new Map();
 
 	constructor(
@@ -47,7 +47,7 @@
 	 * @throws FleetUnavailableError there is no leader, or it could not commit; errors of the call to the leader are passed on
 	 */
 	async release(digest: string): Promise<boolean> {
-		const isKnown = this._state.known.records.some(record => record.digest === digest);
+		const isKnown = this._state.snapshot.records.some(record => record.digest === digest);
 		await this._handleReport({ endedRuns: [], answered: [digest] }, false);
 		this._log.warn('request released', { task: 'fleet', digest, isKnown });
 		return isKnown;
@@ -69,7 +69,7 @@
 
 	private async _commitReport({ endedRuns, answered }: RunReport): Promise<void> {
 		const now = systemClock.now();
-		const runs = endedRuns.filter(run => this._lossFilter.admits(run, now)).map(toCountedRun);
+		const runs = endedRuns.filter(run => this._lossFilter.recordIfIndependent(run, now)).map(toCountedRun);
 		if (runs.length > 0) {
 			await this._propose({ type: 'noteRuns', runs });
 		}
@@ -95,7 +95,7 @@
 		await this._calls.call(address, reportRunsMethod, { report, isForwarded: true }, LEADER_CALL_TIMEOUT_MS);
 	}
 
-	private _logChanges({ records }: KnownRequests): void {
+	private _logChanges({ records }: QuarantineSnapshot): void {
 		const before = this._loggedPhases;
 		this._loggedPhases = new Map(records.map(record => [record.digest, phaseOf(record)]));
 		for (const record of records) {
@@ -114,6 +114,6 @@
 	}
 }
 
-function toCountedRun({ digest, pathHash, team, requestId, targetId }: ToldRun): CountedRun {
+function toCountedRun({ digest, pathHash, team, requestId, targetId }: ReportedLostRun): CountedLostRun {
 	return { digest, pathHash, team, requestId, targetId };
 }
--- a/src/plugins/fleet/node/quarantinePages.ts
+++ b/src/plugins/fleet/node/quarantinePages.ts
@@ -8,7 +8,7 @@
 import { type HttpRequest, type HttpResponse, sendJson } from '../../../kernel/node/httpListener.js';
 import { IProcessPages } from '../../../kernel/node/processPages.js';
 import { FleetUnavailableError, IFleetControl } from '../common/fleetControl.js';
-import { type ListedRequest, PHASE_NAMES, QUARANTINE_PAGE } from '../common/quarantineApi.js';
+import { type QuarantineListEntry, QUARANTINE_PHASE_NAMES, QUARANTINE_PATH } from '../common/quarantineApi.js';
 import { phaseOf } from '../common/quarantineTypes.js';
 
 /** Serves the quarantine endpoints. */
@@ -20,20 +20,20 @@
 		super();
 		pages.add({
 			method: 'GET',
-			pattern: QUARANTINE_PAGE,
+			pattern: QUARANTINE_PATH,
 			handler: (_request, response) => respondOrUnavailable(response, () => this._list(response))
 		});
 		pages.add({
 			method: 'DELETE',
-			pattern: `${QUARANTINE_PAGE}/:digest`,
+			pattern: `${QUARANTINE_PATH}/:digest`,
 			handler: (request, response) => respondOrUnavailable(response, () => this._release(request, response))
 		});
 	}
 
 	private _list(response: HttpResponse): void {
-		const requests: ListedRequest[] = this._fleet.quarantine().map(record => ({
+		const requests: QuarantineListEntry[] = this._fleet.quarantine().map(record => ({
 			digest: record.digest,
-			phase: PHASE_NAMES[phaseOf(record)],
+			phase: QUARANTINE_PHASE_NAMES[phaseOf(record)],
 			team: record.team,
 			runs: record.runs
 		}));
--- a/src/plugins/fleet/node/runReporter.ts
+++ b/src/plugins/fleet/node/runReporter.ts
@@ -8,7 +8,7 @@
 import type { IPeerCalls } from '../../../kernel/common/peerCalls.js';
 import type { ILogService } from '../../../kernel/node/logService.js';
 import { reportRunsMethod } from '../common/fleetWire.js';
-import { type RunReport, type SeenRun, told } from '../common/quarantineTypes.js';
+import { type RunReport, type ObservedLostRun, toReportedRun } from '../common/quarantineTypes.js';
 
 /** Reports within this time are sent in one call; a terminating target loses all its runs at once. */
 const BATCH_WINDOW_MS = 30;
@@ -22,7 +22,7 @@
 
 /** Sends the lost runs and answers that the control instances have not yet accepted. */
 export class RunReporter {
-	private _pendingRuns: SeenRun[] = [];
+	private _pendingRuns: ObservedLostRun[] = [];
 	private _pendingAnswers: string[] = [];
 	private _isSending = false;
 	private _isStopped = false;
@@ -35,7 +35,7 @@
 	) {}
 
 	/** Queues a lost run. */
-	reportRun(run: SeenRun): void {
+	reportRun(run: ObservedLostRun): void {
 		this._pendingRuns.push(run);
 		this._startSending();
 	}
@@ -81,14 +81,18 @@
 	 * Sends a report to the control instance whose turn it is.
 	 * @returns whether it was accepted
 	 */
-	private async _send(attempt: number, runs: readonly SeenRun[], answered: readonly string[]): Promise<boolean> {
+	private async _send(
+		attempt: number,
+		runs: readonly ObservedLostRun[],
+		answered: readonly string[]
+	): Promise<boolean> {
 		const controls = this._controlAddresses();
 		const address = controls[attempt % Math.max(1, controls.length)];
 		if (address === undefined) {
 			return false;
 		}
 		const now = systemClock.now();
-		const report: RunReport = { endedRuns: runs.map(run => told(run, now)), answered };
+		const report: RunReport = { endedRuns: runs.map(run => toReportedRun(run, now)), answered };
 		try {
 			await this._calls.call(address, reportRunsMethod, { report, isForwarded: false }, CALL_TIMEOUT_MS);
 			return true;
--- a/src/plugins/fleet/node/targetLimitManager.ts
+++ b/src/plugins/fleet/node/targetLimitManager.ts
@@ -12,10 +12,10 @@
 import type { IAgreement } from '../../agreement/common/agreement.js';
 import type { FleetState } from '../common/fleetState.js';
 import { type PaceChange, TargetPhase, type TargetRecord } from '../common/fleetTypes.js';
-import type { ToldLimit } from '../common/fleetWire.js';
+import type { ReportedLimit } from '../common/fleetWire.js';
 import { PACE_LEASE_MS } from '../common/paceShare.js';
-import { drawPacedSenders, drawSendersAnywhere } from '../common/pacedSenders.js';
-import type { Sightings } from '../common/sightings.js';
+import { selectPacedSenders, selectPacedSendersFromAnyRegion } from '../common/pacedSenders.js';
+import type { LivenessTracker } from '../common/livenessTracker.js';
 import type { FleetCommandClient } from './fleetCommandClient.js';
 
 /** Reports within this time share a log entry; several instances usually report the same target at about the same time. */
@@ -27,13 +27,13 @@
 
 /** Manages the limits and senders of targets at a control instance. */
 export class TargetLimitManager {
-	private readonly _reported = new Map<string, ToldLimit>();
+	private readonly _reported = new Map<string, ReportedLimit>();
 	private _batchTimer?: NodeJS.Timeout;
 	private _isSubmitting = false;
 
 	constructor(
 		private readonly _state: FleetState,
-		private readonly _liveness: Sightings,
+		private readonly _liveness: LivenessTracker,
 		private readonly _commands: FleetCommandClient,
 		private readonly _agreement: IAgreement,
 		private readonly _regionByHall: ReadonlyMap<string, string>,
@@ -41,7 +41,7 @@
 	) {}
 
 	/** Handles limits reported by an entry instance, which repeats them until the replicated records contain them. */
-	handleReportedLimits(limits: readonly ToldLimit[]): void {
+	handleReportedLimits(limits: readonly ReportedLimit[]): void {
 		for (const limit of limits) {
 			if (this._differsFromRecord(limit)) {
 				this._reported.set(limit.id, limit);
@@ -79,7 +79,7 @@
 		clearTimeout(this._batchTimer);
 	}
 
-	private _differsFromRecord({ id, bornAt, perSecond }: ToldLimit): boolean {
+	private _differsFromRecord({ id, bornAt, perSecond }: ReportedLimit): boolean {
 		const known = this._state.target(id);
 		return known?.bornAt === bornAt && (known.limitPerSecond ?? null) !== perSecond;
 	}
@@ -119,15 +119,15 @@
 		}
 		const vacancies = pacedSenders.length === 0 ? Number.POSITIVE_INFINITY : pacedSenders.length - retained.length;
 		const entries = this._liveness.liveEntries(now).filter(({ name }) => !pacedSenders.includes(name));
-		const sameRegionSenders = drawPacedSenders(id, this._regionByHall.get(hall) ?? '', entries);
+		const sameRegionSenders = selectPacedSenders(id, this._regionByHall.get(hall) ?? '', entries);
 		const candidates =
-			sameRegionSenders.length + retained.length > 0 ? sameRegionSenders : drawSendersAnywhere(id, entries);
+			sameRegionSenders.length + retained.length > 0 ? sameRegionSenders : selectPacedSendersFromAnyRegion(id, entries);
 		return [...retained, ...candidates.slice(0, vacancies)];
 	}
 
 	/** Whether a sender had no contact for the replacement delay, counting only time with complete liveness data. */
 	private _hasLapsed(name: string, completeSince: Millis, now: Millis): boolean {
-		const lastSeenAt = this._liveness.entryHeardAt(name) ?? Number.NEGATIVE_INFINITY;
+		const lastSeenAt = this._liveness.entryLastSeenAt(name) ?? Number.NEGATIVE_INFINITY;
 		return now - Math.max(lastSeenAt, completeSince) > SENDER_REPLACEMENT_DELAY_MS;
 	}
 }
--- a/src/plugins/fleet/node/targetRegistrar.ts
+++ b/src/plugins/fleet/node/targetRegistrar.ts
@@ -6,12 +6,12 @@
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import type { ILogService } from '../../../kernel/node/logService.js';
-import { drawPacedSenders } from '../common/pacedSenders.js';
-import { EarlierLives } from '../common/earlierLives.js';
+import { selectPacedSenders } from '../common/pacedSenders.js';
+import { StaleHeartbeatFilter } from '../common/staleHeartbeatFilter.js';
 import type { TargetHeartbeat } from '../common/fleetControl.js';
 import type { FleetState } from '../common/fleetState.js';
 import { type TargetChange, type TargetDescription, TargetPhase, type TargetRecord } from '../common/fleetTypes.js';
-import type { Sightings } from '../common/sightings.js';
+import type { LivenessTracker } from '../common/livenessTracker.js';
 import type { FleetCommandClient } from './fleetCommandClient.js';
 
 /** Incarnation of a target that a heartbeat comes from, compared with the registered one. */
@@ -24,11 +24,11 @@
 
 /** Registers the targets that send heartbeats to this control instance. */
 export class TargetRegistrar {
-	private readonly _staleHeartbeatFilter = new EarlierLives();
+	private readonly _staleHeartbeatFilter = new StaleHeartbeatFilter();
 
 	constructor(
 		private readonly _state: FleetState,
-		private readonly _liveness: Sightings,
+		private readonly _liveness: LivenessTracker,
 		private readonly _commands: FleetCommandClient,
 		private readonly _regionByHall: ReadonlyMap<string, string>,
 		private readonly _log: ILogService
@@ -47,7 +47,7 @@
 		) {
 			return;
 		}
-		const isNewest = this._liveness.seeHeartbeat({ id, bornAt, sequence, coldLeftMs }, now);
+		const isNewest = this._liveness.recordHeartbeat({ id, bornAt, sequence, coldLeftMs }, now);
 		const phase = isLeaving ? TargetPhase.Leaving : TargetPhase.Serving;
 		const isChange = incarnation === Incarnation.New || (isLeaving && known!.phase === TargetPhase.Serving);
 		if (isChange && (isNewest || isLeaving)) {
@@ -70,15 +70,16 @@
 		} else {
 			await this._submitChange({ id, phase: TargetPhase.Gone });
 		}
-		this._liveness.forgetTarget(id);
+		this._liveness.dropTarget(id);
 	}
 
 	/** Determines which incarnation sent a heartbeat, and logs stale ones, which are ignored. */
 	private _classify(description: TargetDescription, known: TargetRecord | undefined, now: Millis): Incarnation {
 		const { id, bornAt, address, service } = description;
 		const isKnown = known?.bornAt === bornAt;
-		const holderId = this._state.holderOf(address);
-		const holder = holderId === undefined ? undefined : { id: holderId, heardAt: this._liveness.heardAt(holderId) };
+		const holderId = this._state.targetIdAt(address);
+		const holder =
+			holderId === undefined ? undefined : { id: holderId, heardAt: this._liveness.lastHeartbeatAt(holderId) };
 		const isSuperseded = known !== undefined && bornAt < known.bornAt;
 		// A target keeps its service across restarts, so a heartbeat for another service comes from a different target.
 		const isForeign = known !== undefined && service !== known.service && known.service !== '';
@@ -99,7 +100,7 @@
 	private _registrationOf(description: TargetDescription): Pick<TargetChange, 'description' | 'pacedSenders'> {
 		const region = this._regionByHall.get(description.hall) ?? '';
 		const entries = this._liveness.liveEntries(systemClock.now());
-		return { description, pacedSenders: drawPacedSenders(description.id, region, entries) };
+		return { description, pacedSenders: selectPacedSenders(description.id, region, entries) };
 	}
 
 	private async _submitChange(change: TargetChange): Promise<void> {
--- a/src/plugins/fleet/test/controlOrder.test.ts
+++ b/src/plugins/fleet/test/controlSelector.test.ts
@@ -6,7 +6,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ControlOrder } from '../common/controlOrder.js';
+import { ControlSelector } from '../common/controlSelector.js';
 
 const HALLS = new Map([
 	['n1', 'north'],
@@ -20,54 +20,54 @@
 	{ address: 'own:1', hall: 'n1' }
 ];
 
-function createSelector(name = 'entry-1'): ControlOrder {
-	const selector = new ControlOrder({ name, hall: 'n1', region: 'north' }, hall => HALLS.get(hall));
-	selector.learn([], SEEDS);
+function createSelector(name = 'entry-1'): ControlSelector {
+	const selector = new ControlSelector({ name, hall: 'n1', region: 'north' }, hall => HALLS.get(hall));
+	selector.setControls([], SEEDS);
 	return selector;
 }
 
 /** A selector that has learned all control instances from a seed. */
-function createInformedSelector(): ControlOrder {
+function createInformedSelector(): ControlSelector {
 	const selector = createSelector();
-	selector.noteCurrent('south:1');
-	selector.learn(CONTROLS, SEEDS);
+	selector.recordCurrentAnswer('south:1');
+	selector.setControls(CONTROLS, SEEDS);
 	return selector;
 }
 
 test('a new process tries the seeds in turn until one responds', () => {
 	const selector = createSelector();
 	const first = selector.next(0)!;
-	selector.noteFailure(first, 0);
+	selector.recordFailedRequest(first, 0);
 	const second = selector.next(100)!;
 	assert.deepEqual([first, second].sort(), SEEDS);
-	selector.noteFailure(second, 100);
+	selector.recordFailedRequest(second, 100);
 	assert.equal(selector.next(200), first, 'if all have failed, the one that failed first is retried');
 });
 
 test('switches to the control instance of its own hall once that responds', () => {
 	const selector = createInformedSelector();
 	assert.equal(selector.next(1000), 'south:1', 'keeps the one in use until a nearer one has responded');
-	assert.equal(selector.takeNearer(1000), 'own:1');
-	assert.equal(selector.takeNearer(1500), undefined, 'retried once a second');
-	selector.noteCurrent('own:1');
+	assert.equal(selector.takeNearerCandidate(1000), 'own:1');
+	assert.equal(selector.takeNearerCandidate(1500), undefined, 'retried once a second');
+	selector.recordCurrentAnswer('own:1');
 	assert.equal(selector.next(1600), 'own:1');
-	assert.equal(selector.takeNearer(9000), undefined);
+	assert.equal(selector.takeNearerCandidate(9000), undefined);
 });
 
 test('a failed control instance is avoided during its backoff, and the next nearest is used', () => {
 	const selector = createInformedSelector();
-	selector.noteCurrent('own:1');
-	selector.noteFailure('own:1', 5000);
+	selector.recordCurrentAnswer('own:1');
+	selector.recordFailedRequest('own:1', 5000);
 	assert.equal(selector.next(5000), 'near:1');
-	selector.noteCurrent('near:1');
-	assert.equal(selector.takeNearer(6000), undefined);
-	assert.equal(selector.takeNearer(8100), 'own:1');
+	selector.recordCurrentAnswer('near:1');
+	assert.equal(selector.takeNearerCandidate(6000), undefined);
+	assert.equal(selector.takeNearerCandidate(8100), 'own:1');
 });
 
 test('a late response of a more distant control instance does not replace the one in use', () => {
 	const selector = createInformedSelector();
-	selector.noteCurrent('own:1');
-	selector.noteCurrent('south:1');
+	selector.recordCurrentAnswer('own:1');
+	selector.recordCurrentAnswer('south:1');
 	assert.equal(selector.next(1000), 'own:1');
 });
 
@@ -75,7 +75,7 @@
 	const controls = Array.from({ length: 3 }, (_, i) => ({ address: `near:${i}`, hall: 'n2' }));
 	const asked = Array.from({ length: 30 }, (_, i) => {
 		const selector = createSelector(`entry-${i}`);
-		selector.learn(controls, SEEDS);
+		selector.setControls(controls, SEEDS);
 		return selector.next(0)!;
 	});
 	const counts = controls.map(({ address }) => asked.filter(other => other === address).length);
@@ -84,11 +84,11 @@
 
 test('addresses are ordered: the one in use, then by distance, recently failed ones last', () => {
 	const selector = createInformedSelector();
-	selector.noteFailure('own:1', 0);
-	selector.noteCurrent('near:1');
-	const addresses = selector.inOrder(100);
+	selector.recordFailedRequest('own:1', 0);
+	selector.recordCurrentAnswer('near:1');
+	const addresses = selector.addressesByPreference(100);
 	assert.equal(addresses[0], 'near:1');
 	assert.equal(addresses.at(-1), 'own:1');
 	assert.equal(new Set(addresses).size, addresses.length);
-	assert.equal(selector.inOrder(9000)[1], 'own:1');
+	assert.equal(selector.addressesByPreference(9000)[1], 'own:1');
 });
--- a/src/plugins/fleet/test/fleetState.test.ts
+++ b/src/plugins/fleet/test/fleetState.test.ts
@@ -81,12 +81,12 @@
 	startIncarnation(state, 200, TargetPhase.Serving, '127.0.0.1:2');
 	const { phase, bornAt, pacedSenders } = state.target('a')!;
 	assert.deepEqual([phase, bornAt, pacedSenders], [TargetPhase.Serving, 200, ['e-200']]);
-	assert.deepEqual([state.holderOf('127.0.0.1:1'), state.holderOf('127.0.0.1:2')], [undefined, 'a']);
+	assert.deepEqual([state.targetIdAt('127.0.0.1:1'), state.targetIdAt('127.0.0.1:2')], [undefined, 'a']);
 	const { revision } = state;
 	startIncarnation(state, 100, TargetPhase.Leaving);
 	state.apply({ type: 'changeTargets', changes: [{ id: 'a', bornAt: 100, phase: TargetPhase.Gone }] });
 	assert.deepEqual([state.target('a')?.phase, state.revision], [TargetPhase.Serving, revision]);
 	const restored = new FleetState();
 	restored.restore(JSON.parse(JSON.stringify(state.save())));
-	assert.deepEqual([restored.target('a'), restored.holderOf('127.0.0.1:2')], [state.target('a'), 'a']);
+	assert.deepEqual([restored.target('a'), restored.targetIdAt('127.0.0.1:2')], [state.target('a'), 'a']);
 });
--- a/src/plugins/fleet/test/fleetView.test.ts
+++ b/src/plugins/fleet/test/fleetView.test.ts
@@ -10,7 +10,7 @@
 import { FleetView } from '../common/fleetView.js';
 import { TargetPhase, type TargetRecord } from '../common/fleetTypes.js';
 import type { SyncResponse } from '../common/fleetWire.js';
-import { type LivenessTimeouts, Sightings } from '../common/sightings.js';
+import { type LivenessTimeouts, LivenessTracker } from '../common/livenessTracker.js';
 
 const COLD_START_MS = 3000;
 
@@ -83,57 +83,57 @@
 });
 
 test('an outdated heartbeat is ignored; merged observations keep their age', () => {
-	const timeouts: LivenessTimeouts = { entrySilentMs: 1000, targetSilentMs: 1000 };
-	const first = new Sightings(timeouts, 0);
-	assert.equal(first.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 7, coldLeftMs: 0 }, 100), true);
-	assert.equal(first.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 6, coldLeftMs: 0 }, 5000), false);
+	const timeouts: LivenessTimeouts = { entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 };
+	const first = new LivenessTracker(timeouts, 0);
+	assert.equal(first.recordHeartbeat({ id: 'a', bornAt: 0, sequence: 7, coldLeftMs: 0 }, 100), true);
+	assert.equal(first.recordHeartbeat({ id: 'a', bornAt: 0, sequence: 6, coldLeftMs: 0 }, 5000), false);
 	assert.equal(first.isSilent('a', 1200), true);
-	const second = new Sightings(timeouts, 0);
-	second.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 8, coldLeftMs: 2000 }, 1500);
-	first.merge(second.takeFresh(1700), 1700);
+	const second = new LivenessTracker(timeouts, 0);
+	second.recordHeartbeat({ id: 'a', bornAt: 0, sequence: 8, coldLeftMs: 2000 }, 1500);
+	first.merge(second.takeUnsent(1700), 1700);
 	assert.equal(first.isSilent('a', 2400), false);
 	assert.deepEqual(first.coldTargets(3000), [{ id: 'a', leftMs: 500 }]);
-	assert.equal(second.takeFresh(1800).heartbeats.length, 0);
+	assert.equal(second.takeUnsent(1800).heartbeats.length, 0);
 });
 
 test('an entry instance that stops reporting is no longer live', () => {
-	const sightings = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
+	const sightings = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
 	const entry = describeEntry();
-	sightings.seeEntry(entry, 100);
+	sightings.recordEntry(entry, 100);
 	assert.equal(sightings.liveEntries(1000).length, 1);
 	assert.equal(sightings.liveEntries(1200).length, 0);
 });
 
 test('an outdated report of an entry instance is ignored', () => {
 	const entry = describeEntry({ sequence: 2, isReady: false });
-	const sightings = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	sightings.seeEntry(entry, 100);
-	sightings.seeEntry({ ...entry, sequence: 1, isReady: true }, 200);
+	const sightings = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
+	sightings.recordEntry(entry, 100);
+	sightings.recordEntry({ ...entry, sequence: 1, isReady: true }, 200);
 	assert.equal(sightings.liveEntries(300)[0]?.isReady, false);
-	sightings.seeEntry({ ...entry, incarnation: 'restarted', sequence: 1, isReady: true }, 400);
+	sightings.recordEntry({ ...entry, incarnation: 'restarted', sequence: 1, isReady: true }, 400);
 	assert.equal(sightings.liveEntries(500)[0]?.isReady, true);
 });
 
 test('a revision is in force once all live entry instances have applied it', () => {
 	const entry = describeEntry();
-	const first = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	first.seeEntry(entry, 100);
-	assert.equal(first.isInForce(4, 200), true);
-	assert.equal(first.isInForce(5, 200), false);
-	const second = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	second.seeEntry({ ...entry, sequence: 2, revision: 5 }, 300);
-	first.merge(second.takeFresh(400), 400);
-	assert.equal(first.isInForce(5, 500), true);
-	first.seeEntry({ ...entry, name: 'cut off', revision: 1 }, 500);
-	assert.equal(first.isInForce(5, 600), false);
-	assert.equal(first.isInForce(5, 1600), true);
+	const first = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
+	first.recordEntry(entry, 100);
+	assert.equal(first.isAppliedByLiveEntries(4, 200), true);
+	assert.equal(first.isAppliedByLiveEntries(5, 200), false);
+	const second = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
+	second.recordEntry({ ...entry, sequence: 2, revision: 5 }, 300);
+	first.merge(second.takeUnsent(400), 400);
+	assert.equal(first.isAppliedByLiveEntries(5, 500), true);
+	first.recordEntry({ ...entry, name: 'cut off', revision: 1 }, 500);
+	assert.equal(first.isAppliedByLiveEntries(5, 600), false);
+	assert.equal(first.isAppliedByLiveEntries(5, 1600), true);
 });
 
 test('reports of silent targets are ignored in a region whose targets answer this instance', () => {
 	const view = new FleetView(() => 'r');
 	const answered = new Map<string, number>([['a', 9000]]);
 	const unreachable = new Map<string, number>();
-	view.setWitness({ answeredAt: id => answered.get(id), unreachableAt: id => unreachable.get(id) });
+	view.setReachability({ answeredAt: id => answered.get(id), unreachableAt: id => unreachable.get(id) });
 	const silent = { ...response(1, { targets: [target('a'), target('b')] }), silentTargets: ['a', 'b'] };
 	view.apply(silent, 10000);
 	assert.deepEqual(
@@ -166,8 +166,8 @@
 });
 
 test('after an interruption, a control instance reports no target silent until heartbeats could have arrived again', () => {
-	const sightings = new Sightings({ entrySilentMs: 1000, targetSilentMs: 4500 }, 0);
-	sightings.seeHeartbeat({ id: 'a', bornAt: 0, sequence: 1, coldLeftMs: 0 }, 1000);
+	const sightings = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 4500 }, 0);
+	sightings.recordHeartbeat({ id: 'a', bornAt: 0, sequence: 1, coldLeftMs: 0 }, 1000);
 	assert.equal(sightings.isSilent('a', 6000, 0), true);
 	assert.equal(sightings.isSilent('a', 6000, 5000), false);
 	assert.equal(sightings.isSilent('a', 7500, 5000), true);
@@ -183,10 +183,10 @@
 });
 
 test('unchanged reports of an entry instance are relayed at intervals, changes at once', () => {
-	const sightings = new Sightings({ entrySilentMs: 2500, targetSilentMs: 4500 }, 0);
+	const sightings = new LivenessTracker({ entryTimeoutMs: 2500, heartbeatTimeoutMs: 4500 }, 0);
 	const passedOn = (now: number, revision: number): number => {
-		sightings.seeEntry(describeEntry({ sequence: now, revision }), now);
-		return sightings.takeFresh(now).entries.length;
+		sightings.recordEntry(describeEntry({ sequence: now, revision }), now);
+		return sightings.takeUnsent(now).entries.length;
 	};
 	assert.deepEqual(
 		[0, 250, 500, 750, 1000].map(now => passedOn(now, 1)),
@@ -196,15 +196,15 @@
 });
 
 test('heartbeats of a restarted target are accepted from sequence 1, and late ones of the earlier incarnation are ignored', () => {
-	const first = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
+	const first = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
 	const heartbeat = (bornAt: number, sequence: number, coldLeftMs = 0) => ({ id: 'a', bornAt, sequence, coldLeftMs });
-	assert.equal(first.seeHeartbeat(heartbeat(100, 5000), 1000), true);
-	assert.equal(first.seeHeartbeat(heartbeat(200, 1, 4000), 3000), true);
-	assert.equal(first.seeHeartbeat(heartbeat(100, 5001), 3500), false);
+	assert.equal(first.recordHeartbeat(heartbeat(100, 5000), 1000), true);
+	assert.equal(first.recordHeartbeat(heartbeat(200, 1, 4000), 3000), true);
+	assert.equal(first.recordHeartbeat(heartbeat(100, 5001), 3500), false);
 	assert.deepEqual(first.coldTargets(4000), [{ id: 'a', leftMs: 3000 }]);
-	const second = new Sightings({ entrySilentMs: 1000, targetSilentMs: 1000 }, 0);
-	second.seeHeartbeat(heartbeat(100, 6000), 1000);
-	second.merge(first.takeFresh(4000), 4000);
+	const second = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
+	second.recordHeartbeat(heartbeat(100, 6000), 1000);
+	second.merge(first.takeUnsent(4000), 4000);
 	second.merge({ entries: [], heartbeats: [{ ...heartbeat(100, 6001), ageMs: 0 }] }, 4500);
 	assert.deepEqual(second.coldTargets(4500), [{ id: 'a', leftMs: 2500 }]);
 });
@@ -212,7 +212,7 @@
 test('a later incarnation of a target is cold and new, and the restart event fires once', () => {
 	const view = new FleetView(() => 'r');
 	const restarted: number[] = [];
-	view.onDidOutlive(({ bornAt }) => restarted.push(bornAt));
+	view.onDidRestartTarget(({ bornAt }) => restarted.push(bornAt));
 	const first = { ...target('a'), bornAt: 100 };
 	const second = { ...target('a'), bornAt: 200, changedAt: 3 };
 	view.apply(response(2, { targets: [first] }), 1000);
@@ -236,8 +236,8 @@
 test('the peak entry count is set by the first response, complete or not, and never decreases', () => {
 	const view = new FleetView(() => 'r');
 	view.apply({ ...response(5), hasHeardAll: false, entryCount: 2 }, 0);
-	assert.equal(view.mostEntries, 2);
+	assert.equal(view.peakEntryCount, 2);
 	view.apply({ ...response(5), entryCount: 9 }, 0);
 	view.apply({ ...response(5), entryCount: 4 }, 0);
-	assert.equal(view.mostEntries, 9);
+	assert.equal(view.peakEntryCount, 9);
 });
--- a/src/plugins/fleet/test/limitedTargetSimulation.ts
+++ b/src/plugins/fleet/test/limitedTargetSimulation.ts
@@ -14,7 +14,7 @@
 import { FleetView } from '../common/fleetView.js';
 import type { SyncResponse } from '../common/fleetWire.js';
 import { PaceShare } from '../common/paceShare.js';
-import { Sightings } from '../common/sightings.js';
+import { LivenessTracker } from '../common/livenessTracker.js';
 import { describeEntry } from '../../../../test/fakes/describeEntry.js';
 import { TargetLimitTable } from '../../limits/common/targetLimitTable.js';
 
@@ -36,7 +36,7 @@
 	/** Times of the requests admitted by any instance. */
 	readonly sentAt: Millis[] = [];
 	readonly state = new FleetState();
-	readonly liveness = new Sightings({ entrySilentMs: 2500, targetSilentMs: 4500 }, 0);
+	readonly liveness = new LivenessTracker({ entryTimeoutMs: 2500, heartbeatTimeoutMs: 4500 }, 0);
 	private readonly _instances: SimulatedInstance[];
 	private _sequence = 0;
 
@@ -121,7 +121,7 @@
 	private _syncAll(): void {
 		for (const instance of this._instances.filter(({ isDisconnected }) => !isDisconnected)) {
 			const entry = describeEntry({ name: instance.name, sequence: ++this._sequence, peerAddress: instance.name });
-			this.liveness.seeEntry(entry, this.now);
+			this.liveness.recordEntry(entry, this.now);
 			instance.view.apply(this._responseTo(instance.view), this.now);
 			instance.currentAt = this.now;
 		}
--- a/src/plugins/fleet/test/quarantine.test.ts
+++ b/src/plugins/fleet/test/quarantine.test.ts
@@ -6,65 +6,70 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { KnownQuarantine } from '../common/knownQuarantine.js';
-import { LossOrder } from '../common/lossOrder.js';
+import { QuarantineView } from '../common/quarantineView.js';
+import { IndependentLossFilter } from '../common/independentLossFilter.js';
 import { QuarantineState } from '../common/quarantineState.js';
-import { type CountedRun, QuarantinePhase, type ToldRun } from '../common/quarantineTypes.js';
+import { type CountedLostRun, QuarantinePhase, type ReportedLostRun } from '../common/quarantineTypes.js';
 import { RequestQuarantine } from '../common/requestQuarantine.js';
 
-function run(digest: string, number: number, team = ''): CountedRun {
+function run(digest: string, number: number, team = ''): CountedLostRun {
 	return { digest, pathHash: digest.length, team, requestId: `r-${number}`, targetId: `t-${number}` };
 }
 
-function reportedRun(number: number, sentAt: number, endedAt: number, more: Partial<ToldRun> = {}): ToldRun {
+function reportedRun(
+	number: number,
+	sentAt: number,
+	endedAt: number,
+	more: Partial<ReportedLostRun> = {}
+): ReportedLostRun {
 	return { ...run('d', number), wasSuspected: false, sentAgoMs: -sentAt, endedAgoMs: -endedAt, ...more };
 }
 
 /** Records a number of lost runs of one request. */
 function recordRuns(quarantine: RequestQuarantine, digest: string, count: number, team = ''): void {
 	for (let i = 1; i <= count; i++) {
-		quarantine.note(run(digest, i, team));
+		quarantine.recordRun(run(digest, i, team));
 	}
 }
 
 test('a request is suspected after two lost runs and quarantined after three; a run reported again is not counted', () => {
 	const quarantine = new RequestQuarantine();
-	assert.equal(quarantine.note(run('d', 1)), false);
-	assert.equal(quarantine.note(run('d', 1)), false);
+	assert.equal(quarantine.recordRun(run('d', 1)), false);
+	assert.equal(quarantine.recordRun(run('d', 1)), false);
 	assert.equal(quarantine.phase('d'), QuarantinePhase.Clear);
-	assert.equal(quarantine.note(run('d', 2)), true);
+	assert.equal(quarantine.recordRun(run('d', 2)), true);
 	assert.equal(quarantine.phase('d'), QuarantinePhase.Suspected);
-	assert.equal(quarantine.note(run('d', 3)), true);
-	assert.equal(quarantine.note(run('d', 4)), false);
+	assert.equal(quarantine.recordRun(run('d', 3)), true);
+	assert.equal(quarantine.recordRun(run('d', 4)), false);
 	assert.equal(quarantine.phase('d'), QuarantinePhase.Quarantined);
 	assert.equal(quarantine.clear('d'), true);
 	assert.equal(quarantine.phase('d'), QuarantinePhase.Clear);
 });
 
 test('targets that terminate together count once, in whichever order they are reported', () => {
-	const order = new LossOrder();
-	assert.equal(order.admits(reportedRun(1, 0, 1000), 0), true);
-	assert.equal(order.admits(reportedRun(2, 900, 1000), 0), false);
+	const order = new IndependentLossFilter();
+	assert.equal(order.recordIfIndependent(reportedRun(1, 0, 1000), 0), true);
+	assert.equal(order.recordIfIndependent(reportedRun(2, 900, 1000), 0), false);
 	assert.equal(
-		order.admits(reportedRun(3, 1100, 1600), 0),
+		order.recordIfIndependent(reportedRun(3, 1100, 1600), 0),
 		false,
 		'sent when its sender may not have noticed the first loss'
 	);
-	assert.equal(order.admits(reportedRun(4, 1500, 1900), 0), true);
-	assert.equal(order.admits(reportedRun(4, 1500, 1900), 0), true, 'reported again');
+	assert.equal(order.recordIfIndependent(reportedRun(4, 1500, 1900), 0), true);
+	assert.equal(order.recordIfIndependent(reportedRun(4, 1500, 1900), 0), true, 'reported again');
 });
 
 test('a run counts if it was certainly sent after the previous one: in the same attempt, or by an instance that knew of the suspicion', () => {
-	const order = new LossOrder();
-	assert.equal(order.admits(reportedRun(1, 0, 1000), 0), true);
+	const order = new IndependentLossFilter();
+	assert.equal(order.recordIfIndependent(reportedRun(1, 0, 1000), 0), true);
 	const again = { requestId: 'r-1', afterTargetId: 't-1' };
 	assert.equal(
-		order.admits(reportedRun(2, 1001, 1002, again), 0),
+		order.recordIfIndependent(reportedRun(2, 1001, 1002, again), 0),
 		false,
 		'two targets of one hall that terminate together'
 	);
-	assert.equal(order.admits(reportedRun(3, 1001, 1080, again), 0), true);
-	assert.equal(order.admits(reportedRun(4, 1100, 1180, { wasSuspected: true }), 0), true);
+	assert.equal(order.recordIfIndependent(reportedRun(3, 1001, 1080, again), 0), true);
+	assert.equal(order.recordIfIndependent(reportedRun(4, 1100, 1180, { wasSuspected: true }), 0), true);
 });
 
 test('requests of one team do not evict those of another, and quarantined requests outlast the others', () => {
@@ -77,7 +82,7 @@
 		recordRuns(quarantine, `two-${i}`, 2, 'loud');
 	}
 	assert.ok(quarantine.save().length <= 1024 + 128 + 128);
-	assert.notEqual(quarantine.record('quiet'), undefined);
+	assert.notEqual(quarantine.get('quiet'), undefined);
 	assert.equal(quarantine.phase('quiet-suspected'), QuarantinePhase.Suspected);
 	assert.equal(quarantine.phase('quarantined'), QuarantinePhase.Quarantined);
 });
@@ -87,20 +92,20 @@
 	state.apply({ type: 'noteRuns', runs: [run('a', 1), run('b', 1), run('b', 2)] });
 	const restored = new QuarantineState();
 	restored.restore(JSON.parse(JSON.stringify(state.save())));
-	assert.deepEqual(restored.known, state.known);
+	assert.deepEqual(restored.snapshot, state.snapshot);
 	restored.apply({ type: 'noteRuns', runs: [run('a', 2), run('b', 3)] });
 	assert.deepEqual(
-		restored.known.records.map(({ digest, runs }) => [digest, runs.length]),
+		restored.snapshot.records.map(({ digest, runs }) => [digest, runs.length]),
 		[
 			['a', 2],
 			['b', 3]
 		]
 	);
-	assert.equal(restored.known.revision, 2);
+	assert.equal(restored.snapshot.revision, 2);
 });
 
 test('an entry instance keeps the latest revision and reports cleared requests', () => {
-	const known = new KnownQuarantine();
+	const known = new QuarantineView();
 	const cleared: string[] = [];
 	known.onDidClear(digest => cleared.push(digest));
 	const record = {
@@ -112,7 +117,7 @@
 	known.apply({ revision: 3, records: [record] });
 	known.apply({ revision: 2, records: [] });
 	assert.equal(known.phase('d'), QuarantinePhase.Quarantined);
-	assert.deepEqual([known.mayKnow(5), known.mayKnow(6)], [true, false]);
+	assert.deepEqual([known.mayContain(5), known.mayContain(6)], [true, false]);
 	known.apply({ revision: 4, records: [] });
 	assert.deepEqual([known.phase('d'), cleared, known.isEmpty], [QuarantinePhase.Clear, ['d'], true]);
 });
--- a/src/plugins/fleet/test/targetNeeds.test.ts
+++ b/src/plugins/fleet/test/requestedWork.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TargetPhase, type TargetRecord } from '../common/fleetTypes.js';
-import { TargetNeeds } from '../common/targetNeeds.js';
+import { RequestedWork } from '../common/requestedWork.js';
 
 const SLOTS = 10;
 
@@ -20,22 +20,22 @@
 
 /** Adds constant work at each target, in slots, every 250 ms. */
 function addConstantWork(
-	needs: TargetNeeds,
+	needs: RequestedWork,
 	slots: Readonly<Record<string, number>>,
 	from: number,
 	until: number
 ): void {
 	for (let now = from; now < until; now += 250) {
-		needs.note(Object.fromEntries(Object.entries(slots).map(([id, needed]) => [id, needed / 4])), now);
+		needs.addReported(Object.fromEntries(Object.entries(slots).map(([id, needed]) => [id, needed / 4])), now);
 	}
 }
 
-function keptPartOf(needs: TargetNeeds, id: string, now: number): number {
-	return needs.crowded(TARGETS, () => 'r', now).find(crowded => crowded.id === id)?.keptPart ?? 1;
+function keptPartOf(needs: RequestedWork, id: string, now: number): number {
+	return needs.findCrowded(TARGETS, () => 'r', now).find(crowded => crowded.id === id)?.keptPart ?? 1;
 }
 
 test('an overloaded target keeps the fraction of objects that it can serve, the others keep all', () => {
-	const needs = new TargetNeeds();
+	const needs = new RequestedWork();
 	addConstantWork(needs, { a: 13, b: 4 }, 0, 20000);
 	assert.ok(Math.abs(needs.slotsNeeded('a', 20000) - 13) < 1.5);
 	assert.ok(Math.abs(keptPartOf(needs, 'a', 20000) - 6.5 / 13) < 0.08);
@@ -43,16 +43,16 @@
 });
 
 test('if all targets are overloaded equally, none moves objects away', () => {
-	const needs = new TargetNeeds();
+	const needs = new RequestedWork();
 	addConstantWork(needs, Object.fromEntries(TARGETS.map(({ id }) => [id, 20])), 0, 20000);
 	assert.deepEqual(
-		needs.crowded(TARGETS, () => 'r', 20000),
+		needs.findCrowded(TARGETS, () => 'r', 20000),
 		[]
 	);
 });
 
 test('small changes of requested work do not change the kept fraction; once the overload ends, all objects return', () => {
-	const needs = new TargetNeeds();
+	const needs = new RequestedWork();
 	addConstantWork(needs, { a: 13 }, 0, 20000);
 	const kept = keptPartOf(needs, 'a', 20000);
 	addConstantWork(needs, { a: 12 }, 20000, 40000);
@@ -62,22 +62,22 @@
 });
 
 test('work reported to one control instance is counted once at the others', () => {
-	const [first, second] = [new TargetNeeds(), new TargetNeeds()];
+	const [first, second] = [new RequestedWork(), new RequestedWork()];
 	for (let now = 0; now < 20000; now += 250) {
-		first.note({ a: 3 }, now);
-		second.merge(first.takeFresh(), now);
+		first.addReported({ a: 3 }, now);
+		second.merge(first.takeUnsent(), now);
 	}
-	assert.deepEqual(first.takeFresh(), {});
+	assert.deepEqual(first.takeUnsent(), {});
 	assert.ok(Math.abs(first.slotsNeeded('a', 20000) - second.slotsNeeded('a', 20000)) < 1e-9);
-	assert.deepEqual(second.takeFresh(), {});
+	assert.deepEqual(second.takeUnsent(), {});
 });
 
 test('the first work of a target is averaged over one second, and leaving targets are not reported as crowded', () => {
-	const needs = new TargetNeeds();
-	needs.note({ a: 12 }, 1000);
+	const needs = new RequestedWork();
+	needs.addReported({ a: 12 }, 1000);
 	assert.ok(Math.abs(needs.slotsNeeded('a', 1000) - 12) < 2);
 	assert.deepEqual(
-		needs.crowded([target('a', TargetPhase.Leaving)], () => 'r', 1000),
+		needs.findCrowded([target('a', TargetPhase.Leaving)], () => 'r', 1000),
 		[]
 	);
 });
--- a/src/plugins/fleet/test/runReporter.test.ts
+++ b/src/plugins/fleet/test/runReporter.test.ts
@@ -9,12 +9,12 @@
 import type { IPeerCalls } from '../../../kernel/common/peerCalls.js';
 import type { ILogService } from '../../../kernel/node/logService.js';
 import type { ReportRunsRequest } from '../common/fleetWire.js';
-import type { SeenRun } from '../common/quarantineTypes.js';
+import type { ObservedLostRun } from '../common/quarantineTypes.js';
 import { RunReporter } from '../node/runReporter.js';
 
 const LOG = { warn: () => undefined } as unknown as ILogService;
 
-function observedRun(requestId: string): SeenRun {
+function observedRun(requestId: string): ObservedLostRun {
 	const times = { sentAt: performance.now() - 200, endedAt: performance.now() - 100 };
 	return { digest: 'd', pathHash: 1, team: '', requestId, targetId: 't', wasSuspected: false, ...times };
 }
--- a/src/plugins/fleet/test/earlierLives.test.ts
+++ b/src/plugins/fleet/test/staleHeartbeatFilter.test.ts
@@ -6,12 +6,12 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { EarlierLives } from '../common/earlierLives.js';
+import { StaleHeartbeatFilter } from '../common/staleHeartbeatFilter.js';
 import { FleetState } from '../common/fleetState.js';
 import { TargetPhase } from '../common/fleetTypes.js';
 
 test('a heartbeat of a registered target is stale if another one has taken over its address', () => {
-	const filter = new EarlierLives();
+	const filter = new StaleHeartbeatFilter();
 	const owner = { id: 'new', heardAt: 1000 };
 	assert.equal(filter.isStale('old', true, owner, 9000), true);
 	assert.equal(filter.isStale('new', true, owner, 9000), false);
@@ -19,7 +19,7 @@
 });
 
 test('at the address of a live target, a new target is only registered after a confirming heartbeat', () => {
-	const filter = new EarlierLives();
+	const filter = new StaleHeartbeatFilter();
 	const owner = { id: 'here', heardAt: 1000 };
 	assert.equal(filter.isStale('other', false, owner, 1500), true);
 	assert.equal(
@@ -31,7 +31,7 @@
 });
 
 test('at the address of a silent target, a new target is registered at once', () => {
-	const filter = new EarlierLives();
+	const filter = new StaleHeartbeatFilter();
 	assert.equal(filter.isStale('next', false, { id: 'crashed', heardAt: 1000 }, 4500), false);
 });
 
@@ -43,11 +43,11 @@
 	};
 	register('first');
 	register('second');
-	assert.equal(state.holderOf('127.0.0.1:1'), 'second');
+	assert.equal(state.targetIdAt('127.0.0.1:1'), 'second');
 	const copy = new FleetState();
 	copy.restore(state.save());
-	assert.equal(copy.holderOf('127.0.0.1:1'), 'second');
+	assert.equal(copy.targetIdAt('127.0.0.1:1'), 'second');
 	state.apply({ type: 'changeTargets', changes: [{ id: 'second', phase: TargetPhase.Gone }] });
-	assert.equal(state.holderOf('127.0.0.1:1'), undefined);
-	assert.equal(copy.holderOf('127.0.0.2:1'), undefined);
+	assert.equal(state.targetIdAt('127.0.0.1:1'), undefined);
+	assert.equal(copy.targetIdAt('127.0.0.2:1'), undefined);
 });
--- a/src/plugins/fleet/test/viewAge.test.ts
+++ b/src/plugins/fleet/test/viewAge.test.ts
@@ -40,9 +40,9 @@
 	const clock = new FakeClock();
 	const age = new ViewAge(clock);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
-	const asked = age.ask();
+	const asked = age.timestampRequest();
 	clock.pass(700);
-	age.noteCurrent(asked, 500, 30);
+	age.recordCurrentAnswer(asked, 500, 30);
 	assert.equal(age.ageMs(), 230);
 	clock.pass(100);
 	assert.equal(age.ageMs(), 330);
@@ -51,23 +51,23 @@
 test('after a suspension the view age is unknown until a later request is answered', () => {
 	const clock = new FakeClock();
 	const age = new ViewAge(clock);
-	age.noteCurrent(age.ask(), 0, 0);
-	const askedBefore = age.ask();
+	age.recordCurrentAnswer(age.timestampRequest(), 0, 0);
+	const askedBefore = age.timestampRequest();
 	clock.suspend(SUSPENDED_MS);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
-	age.noteCurrent(askedBefore, 500, 0);
+	age.recordCurrentAnswer(askedBefore, 500, 0);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
-	const askedAfter = age.ask();
+	const askedAfter = age.timestampRequest();
 	clock.pass(20);
-	age.noteCurrent(askedAfter, 0, 0);
+	age.recordCurrentAnswer(askedAfter, 0, 0);
 	assert.equal(age.ageMs(), 20);
 });
 
 test('a response to a request sent before a suspension is ignored, also if it is the first to detect the suspension', () => {
 	const clock = new FakeClock();
 	const age = new ViewAge(clock);
-	const asked = age.ask();
+	const asked = age.timestampRequest();
 	clock.suspend(SUSPENDED_MS);
-	age.noteCurrent(asked, 500, 0);
+	age.recordCurrentAnswer(asked, 500, 0);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 });
--- a/src/plugins/forwarding/common/attempt.ts
+++ b/src/plugins/forwarding/common/attempt.ts
@@ -10,7 +10,7 @@
 export type RawHeaders = readonly string[];
 
 /** A response of the target: either complete, or its beginning with the remaining body as a stream. */
-export interface TargetAnswer {
+export interface TargetResponse {
 	readonly type: 'answer';
 	readonly status: number;
 	readonly rawHeaders: RawHeaders;
@@ -22,7 +22,7 @@
 	/** The complete body, or its first bytes if the remaining body is streamed. */
 	readonly body: Buffer;
 	/** The remaining body; undefined if `body` is complete. Emits an error if the target closes the connection early. */
-	readonly rest?: Readable;
+	readonly remainingBody?: Readable;
 }
 
 /** The request was certainly not executed: it was never written, or the target refused it. */
@@ -44,9 +44,9 @@
 	/** The address now belongs to another target. */
 	OtherTarget = 'other-target',
 	/** The target asked for backoff, or announced its shutdown, before the request was written to it. */
-	AtRest = 'at-rest',
+	BackingOff = 'at-rest',
 	/** The rate limit of the target leaves no permit, or became known before the request was written to it. */
-	AtLimit = 'at-limit',
+	RateLimited = 'at-limit',
 	/** This instance's share of the connections that the target accepts is in use. */
 	ConnectionsInUse = 'connections-in-use',
 	/** Any other refusal by the target. */
@@ -54,21 +54,21 @@
 }
 
 /** Why a request that may have been executed has no complete response of its own. */
-export enum BrokenCause {
+export enum ResponseFailureCause {
 	/** The connection was lost before a response was received. */
 	ConnectionLost = 'connection-lost',
 	/** The connection was lost before the response was complete. */
-	BrokenOff = 'broken-off',
+	ResponseTruncated = 'broken-off',
 	/** The response belongs to another request. */
-	OtherAnswer = 'other-answer',
+	ResponseMismatch = 'other-answer',
 	/** The received data is not valid HTTP. */
-	Garbled = 'garbled'
+	MalformedResponse = 'garbled'
 }
 
 /** The request may have been executed, but its response is missing, incomplete, malformed or that of another request. */
 export interface ResponseFailure {
 	readonly type: 'broken';
-	readonly cause: BrokenCause;
+	readonly cause: ResponseFailureCause;
 	/** Error reported by the connection, for the log. */
 	readonly detail?: string;
 }
@@ -81,4 +81,4 @@
 }
 
 /** Outcome of one attempt. */
-export type AttemptOutcome = TargetAnswer | NotRun | ResponseFailure | Abandoned;
+export type AttemptOutcome = TargetResponse | NotRun | ResponseFailure | Abandoned;
--- a/src/plugins/forwarding/common/headerNames.ts
+++ b/src/plugins/forwarding/common/headerNames.ts
@@ -25,7 +25,7 @@
 	/** Response header: number of running requests, waiting requests and slots, separated by commas. */
 	readonly load: string;
 	/** Header of a 429 or 503 response: seconds, or an HTTP date, until which the sender must not send further requests. */
-	readonly rest: string;
+	readonly retryAfter: string;
 	/** Response header: `1` if the target is shutting down. */
 	readonly leaving: string;
 	/** Response header: rate limit of the target for all instances together, in requests per second; a decimal number. */
--- a/src/plugins/forwarding/common/hopHeaders.ts
+++ b/src/plugins/forwarding/common/hopByHopHeaders.ts
@@ -40,7 +40,7 @@
  * The headers to forward, as alternating names and values.
  * @param dropped names in lower case of further headers to remove
  */
-export function passedHeaders(raw: RawHeaders, dropped: ReadonlySet<string>): string[] {
+export function endToEndHeaders(raw: RawHeaders, dropped: ReadonlySet<string>): string[] {
 	const connectionNames = connectionOptions(raw);
 	const forwarded: string[] = [];
 	forEachHeader(raw, (lower, name, value) => {
--- a/src/plugins/forwarding/common/largeAnswerGate.ts
+++ b/src/plugins/forwarding/common/largeResponseLimiter.ts
@@ -20,7 +20,7 @@
 const SIZE_SMOOTHING = 0.1;
 
 /** Admission control for large responses that pass through this instance. */
-export class LargeAnswerGate {
+export class LargeResponseLimiter {
 	private readonly _bytesPerMs: number;
 	private readonly _averageBytes = new Map<string, number>();
 	private _admittedBytes = 0;
@@ -34,7 +34,7 @@
 	 * Admits a request of a route if its expected response fits. A request is always admitted if the sum is zero.
 	 * @returns the expected bytes, to be passed to {@link release}; undefined if the request is not admitted
 	 */
-	admit(route: Route): number | undefined {
+	tryAdmit(route: Route): number | undefined {
 		const expectedBytes = this._averageBytes.get(route.name) ?? 0;
 		const capacityBytes = this._bytesPerMs * route.objectiveMs * MAX_COMMITTED_OBJECTIVES;
 		if (this._admittedBytes > 0 && this._admittedBytes + expectedBytes > capacityBytes) {
@@ -50,7 +50,7 @@
 	}
 
 	/** Updates the average response size of a route. */
-	noteSize(route: Route, bytes: number): void {
+	recordSize(route: Route, bytes: number): void {
 		const averageBytes = this._averageBytes.get(route.name) ?? bytes;
 		this._averageBytes.set(route.name, averageBytes + (bytes - averageBytes) * SIZE_SMOOTHING);
 	}
--- a/src/plugins/forwarding/common/linkPacer.ts
+++ b/src/plugins/forwarding/common/linkPacer.ts
@@ -32,7 +32,7 @@
 const MAX_QUEUED_BYTES = 200 * 1024;
 
 /** Maximum size of one paced write. */
-export const PACED_PIECE_BYTES = 4 * 1024;
+export const PACED_CHUNK_BYTES = 4 * 1024;
 
 /** Bandwidth that large responses may use together in one direction, in bytes per millisecond. */
 export function largeResponseBytesPerMs(linkMbit: number): number {
@@ -43,7 +43,7 @@
  * Maximum response size that is buffered completely before it is forwarded, on an instance with the given bandwidth. A
  * response that is known to be larger is streamed from its first byte, so that its caller doesn't wait for the buffer to fill.
  */
-export function heldBytes(linkMbit: number): number {
+export function maxBufferedBytes(linkMbit: number): number {
 	const bytes = (linkMbit * BITS_PER_MEGABIT * BUFFER_TRANSFER_MS) / BITS_PER_BYTE / MS_PER_SECOND;
 	return Math.min(MAX_BUFFER_BYTES, Math.max(MIN_BUFFER_BYTES, bytes));
 }
--- a/src/plugins/forwarding/common/placement/demandMeter.ts
+++ b/src/plugins/forwarding/common/placement/demandMeter.ts
@@ -46,24 +46,24 @@
 	}
 
 	/** Records that a caller's request for the service arrived. */
-	noteRequest(now: Millis): void {
+	recordRequest(now: Millis): void {
 		this._decay(now);
 		this._decayedRequests++;
 	}
 
 	/** Exponential moving average of the latency. */
-	get meanMs(): Millis {
+	get meanLatencyMs(): Millis {
 		return this._meanLatencyMs ?? DEFAULT_LATENCY_MS;
 	}
 
 	/** Estimated time that a request takes without queueing: a low quantile of the latest latencies. */
-	get typicalMs(): Millis {
+	get serviceTimeMs(): Millis {
 		this._serviceTimeMs ??= this._computeServiceTime();
 		return this._serviceTimeMs;
 	}
 
 	/** Records the latency of a target's response. */
-	noteAnswer(durationMs: Millis): void {
+	recordResponse(durationMs: Millis): void {
 		this._meanLatencyMs =
 			this._meanLatencyMs === undefined
 				? durationMs
@@ -78,7 +78,7 @@
 		this._decay(now);
 		const ageMs = Math.max(MIN_RATE_WINDOW_MS, now - this._startedAt);
 		const effectiveWindowMs = RATE_TIME_CONSTANT_MS * (1 - Math.exp(-ageMs / RATE_TIME_CONSTANT_MS));
-		return (this._decayedRequests / effectiveWindowMs) * this.typicalMs;
+		return (this._decayedRequests / effectiveWindowMs) * this.serviceTimeMs;
 	}
 
 	private _computeServiceTime(): Millis {
--- a/src/plugins/forwarding/common/placement/regionLoad.ts
+++ b/src/plugins/forwarding/common/placement/regionLoad.ts
@@ -25,14 +25,14 @@
 	 * Records the utilization that a response reported for its target.
 	 * @param utilization running and waiting requests per slot
 	 */
-	note(utilization: number, now: Millis): void {
+	recordUtilization(utilization: number, now: Millis): void {
 		this._decay(now);
 		this._sum += utilization;
 		this._weight++;
 	}
 
 	/** Returns the mean number of requests per slot; 0 if there are too few recent responses. */
-	meanFill(now: Millis): number {
+	meanUtilization(now: Millis): number {
 		this._decay(now);
 		return this._weight < MIN_SAMPLE_WEIGHT ? 0 : this._sum / this._weight;
 	}
--- a/src/plugins/forwarding/common/placement/callerReturns.ts
+++ b/src/plugins/forwarding/common/placement/retryAfterScheduler.ts
@@ -7,7 +7,7 @@
 import type { Millis } from '../../../../base/clock.js';
 
 /** Assigns retry times to the callers of one service at one instance. */
-export class CallerReturns {
+export class RetryAfterScheduler {
 	private _lastRetryAt: Millis = Number.NEGATIVE_INFINITY;
 
 	/**
--- a/src/plugins/forwarding/common/placement/sharePacer.ts
+++ b/src/plugins/forwarding/common/placement/sharePacer.ts
@@ -13,7 +13,7 @@
 /** Limits how fast requests may move to other regions. */
 export interface ShiftBounds {
 	/** Maximum fraction of a region's requests that change their region between one window and the next, 0 to 1. */
-	readonly mostMoved: number;
+	readonly maxMovedFraction: number;
 	readonly windowMs: Millis;
 }
 
@@ -66,7 +66,7 @@
 		private readonly _bounds: ShiftBounds,
 		initialShares: RegionShares = []
 	) {
-		this._maxMovedPerMs = (SHIFT_BUDGET_FRACTION * _bounds.mostMoved) / _bounds.windowMs;
+		this._maxMovedPerMs = (SHIFT_BUDGET_FRACTION * _bounds.maxMovedFraction) / _bounds.windowMs;
 		this._shares = initialShares;
 	}
 
--- a/src/plugins/forwarding/common/placement/targetChoice.ts
+++ b/src/plugins/forwarding/common/placement/targetChoice.ts
@@ -12,7 +12,7 @@
 import { hash32 } from '../../../../base/hashing.js';
 import type { KnownTarget } from '../../../fleet/common/fleetView.js';
 import { regionAtPosition, orderRegions, type RegionShares } from './regionShares.js';
-import type { PassedTarget } from '../requestTrace.js';
+import type { SkippedTarget } from '../requestTrace.js';
 import type { TargetState } from '../targets/targetState.js';
 
 /** A target that may get the request. */
@@ -28,7 +28,7 @@
 	/** Whether another region was chosen although `firstRegion` is reachable. */
 	readonly isSpill: boolean;
 	/** The primary target of the object, if it was skipped because it backs off or is rate limited. */
-	readonly passedOver?: PassedTarget;
+	readonly passedOver?: SkippedTarget;
 }
 
 /** The request and the state that the choice depends on. */
--- a/src/plugins/forwarding/common/requestTrace.ts
+++ b/src/plugins/forwarding/common/requestTrace.ts
@@ -7,7 +7,7 @@
 import type { Millis } from '../../../base/clock.js';
 
 /** A target that was skipped because it asked for backoff or has reached its rate limit. */
-export interface PassedTarget {
+export interface SkippedTarget {
 	readonly target: string;
 	/** Remaining time of its backoff in milliseconds; undefined if it was not skipped for that reason. */
 	readonly restLeftMs?: number;
@@ -28,7 +28,7 @@
 	readonly slots: number;
 	readonly isCold: boolean;
 	/** The preferred target of the object, if it was skipped. */
-	readonly passedOver: PassedTarget | undefined;
+	readonly passedOver: SkippedTarget | undefined;
 	/** Outcome, followed by its cause if it has one. */
 	outcome: string;
 	tookMs: number;
@@ -41,7 +41,7 @@
 const ROUTINE_SAMPLE_INTERVAL = 200;
 
 /** Samples and rate-limits log lines to bound their volume under load. */
-export class TraceSampler {
+export class LogSampler {
 	private _tokens = MAX_BURST_LINES;
 	private _refilledAt: Millis = 0;
 	private _routineRequests = 0;
@@ -66,7 +66,7 @@
 	}
 
 	/** Number of lines dropped by the rate limit since the last call. */
-	takeLeftOut(): number {
+	takeDroppedCount(): number {
 		const count = this._dropped;
 		this._dropped = 0;
 		return count;
--- a/src/plugins/forwarding/common/serviceBounds.ts
+++ b/src/plugins/forwarding/common/serviceBounds.ts
@@ -6,7 +6,7 @@
 
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
-import type { RetryLimits } from './retryAllowance.js';
+import type { RetryLimits } from './serviceRetryBudget.js';
 import type { ShiftBounds } from './placement/sharePacer.js';
 
 /** Limits of the platform. */
--- a/src/plugins/forwarding/common/retryAllowance.ts
+++ b/src/plugins/forwarding/common/serviceRetryBudget.ts
@@ -29,7 +29,7 @@
 const BUCKETS = 10;
 
 /** Retry budget of this instance for one service, over a sliding window. */
-export class RetryAllowance {
+export class ServiceRetryBudget {
 	private readonly _firstAttempts = new Array<number>(BUCKETS).fill(0);
 	private readonly _retries = new Array<number>(BUCKETS).fill(0);
 	private _bucket = 0;
@@ -37,7 +37,7 @@
 	constructor(private readonly _limits: RetryLimits) {}
 
 	/** Records that a request was sent to its first target. */
-	noteFirstTry(now: Millis): void {
+	recordFirstAttempt(now: Millis): void {
 		this._advance(now);
 		this._firstAttempts[this._bucket % BUCKETS]!++;
 	}
@@ -47,7 +47,7 @@
 	 * @param entryCount number of instances that share the slack; infinite if unknown, in which case no slack is available
 	 * @returns false if the budget is exhausted
 	 */
-	take(entryCount: number, now: Millis): boolean {
+	tryTake(entryCount: number, now: Millis): boolean {
 		this._advance(now);
 		const firstAttempts = sum(this._firstAttempts);
 		const { ratio, slack } = this._limits;
--- a/src/plugins/forwarding/common/targets/targetBackoff.ts
+++ b/src/plugins/forwarding/common/targets/targetBackoff.ts
@@ -5,7 +5,7 @@
 /** Backoff requested by a target, valid for one run of its process. */
 
 import type { Millis } from '../../../../base/clock.js';
-import type { BackoffRequest } from './targetWord.js';
+import type { BackoffRequest } from './targetReport.js';
 
 /** How long an announced shutdown is remembered; longer than targets keep serving after the announcement. */
 const LEAVING_RETENTION_MS: Millis = 600000;
@@ -28,8 +28,8 @@
 	}
 
 	/** Applies the request of a response. A later request may extend an earlier one, but never shortens it. */
-	hear({ restMs: backoffMs, isLeaving }: BackoffRequest, now: Millis): void {
-		if ((backoffMs > 0 || isLeaving) && !this.isAsked(now)) {
+	apply({ backoffMs, isLeaving }: BackoffRequest, now: Millis): void {
+		if ((backoffMs > 0 || isLeaving) && !this.isActive(now)) {
 			this._activeSince = now;
 		}
 		this._isLeaving ||= isLeaving;
@@ -41,7 +41,7 @@
 
 	/** Duration of a backoff that has ended since the last call; undefined if none has. */
 	takeEndedDurationMs(now: Millis): Millis | undefined {
-		if (this._isEndReported || this.isAsked(now)) {
+		if (this._isEndReported || this.isActive(now)) {
 			return undefined;
 		}
 		this._isEndReported = true;
@@ -49,7 +49,7 @@
 	}
 
 	/** Whether nothing may be sent to the target now. */
-	isAsked(now: Millis): boolean {
+	isActive(now: Millis): boolean {
 		return this._isLeaving || now < this._backoffUntil;
 	}
 
--- a/src/plugins/forwarding/common/targets/targetHealth.ts
+++ b/src/plugins/forwarding/common/targets/targetHealth.ts
@@ -61,7 +61,7 @@
 	}
 
 	/** Records that no connection could be established. */
-	noteUnreachable(now: Millis): void {
+	recordUnreachable(now: Millis): void {
 		this._eject(now);
 	}
 
--- a/src/plugins/forwarding/common/targets/targetRefusal.ts
+++ b/src/plugins/forwarding/common/targets/targetRefusal.ts
@@ -10,7 +10,7 @@
 
 import type { AttemptTrace } from '../requestTrace.js';
 import { NotRunCause } from '../attempt.js';
-import type { LoadReport } from './targetWord.js';
+import type { LoadReport } from './targetReport.js';
 
 /** Maximum number of attempts of one request at the same target. Further retries are better spent at other targets. */
 const MAX_ATTEMPTS_PER_TARGET = 2;
@@ -25,7 +25,7 @@
 }
 
 /** Whether a refused request may be retried at the same target. */
-export function mayTryAgain(cause: NotRunCause, target: string, attempts: readonly AttemptTrace[]): boolean {
+export function mayRetrySameTarget(cause: NotRunCause, target: string, attempts: readonly AttemptTrace[]): boolean {
 	const tries = attempts.filter(attempt => attempt.target === target).length;
 	return cause === NotRunCause.Shed && tries < MAX_ATTEMPTS_PER_TARGET;
 }
--- a/src/plugins/forwarding/common/targets/targetWord.ts
+++ b/src/plugins/forwarding/common/targets/targetReport.ts
@@ -28,19 +28,19 @@
 /** A request of a target not to be sent further requests. */
 export interface BackoffRequest {
 	/** How long this instance must not send requests, counted from the response; 0 if no backoff is requested. */
-	readonly restMs: Millis;
+	readonly backoffMs: Millis;
 	/** Whether the target is shutting down and accepts no new requests until it has restarted. */
 	readonly isLeaving: boolean;
 }
 
 /** What a target reports about itself in one response. */
-export interface TargetWord extends BackoffRequest {
+export interface TargetReport extends BackoffRequest {
 	/** Undefined if the target does not report its load. */
 	readonly load: LoadReport | undefined;
 	/** Rate limit of the target for all instances together, in requests per second; undefined if it reports none. */
 	readonly limitPerSecond: number | undefined;
 	/** Whether the response echoes the id of the request. If not, other headers of the target may be missing as well. */
-	readonly hasEcho: boolean;
+	readonly echoesRequestId: boolean;
 	/** Whether the target did not execute the request. */
 	readonly isNotRun: boolean;
 }
@@ -49,7 +49,7 @@
 export type ResponseHead = Pick<IncomingMessage, 'statusCode' | 'headers' | 'headersDistinct'>;
 
 /** Parses `running,waiting,slots`; undefined for anything else. */
-export function parseLoadWord(text: string | readonly string[] | undefined): LoadReport | undefined {
+export function parseLoadReport(text: string | readonly string[] | undefined): LoadReport | undefined {
 	const numbers = typeof text === 'string' ? text.split(',').map(Number) : undefined;
 	if (numbers?.length !== 3 || numbers.some(number => !Number.isFinite(number) || number < 0)) {
 		return undefined;
@@ -83,27 +83,27 @@
  * Parses the status and headers of a target's response.
  * @param wallNow current Unix time in milliseconds, used as the date of a response without a valid `Date` header
  */
-export function readTargetWord(head: ResponseHead, names: IHeaderNames, wallNow: number): TargetWord {
+export function parseTargetReport(head: ResponseHead, names: IHeaderNames, wallNow: number): TargetReport {
 	const { statusCode: status, headers } = head;
 	const isRefusal = status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY;
 	return {
-		load: parseLoadWord(headers[names.load]),
-		restMs: isRefusal ? longestBackoffMs(head, names, wallNow) : 0,
+		load: parseLoadReport(headers[names.load]),
+		backoffMs: isRefusal ? longestBackoffMs(head, names, wallNow) : 0,
 		isLeaving: headers[names.leaving] === '1',
 		limitPerSecond: lowestLimit(head, names),
-		hasEcho: headers[names.requestId] !== undefined,
+		echoesRequestId: headers[names.requestId] !== undefined,
 		isNotRun: status === STATUS_OTHER_TARGET || headers[names.notRun] !== undefined
 	};
 }
 
 /** The longest backoff, if the header occurs more than once. */
 function longestBackoffMs({ headers, headersDistinct }: ResponseHead, names: IHeaderNames, wallNow: number): Millis {
-	if (headers[names.rest] === undefined) {
+	if (headers[names.retryAfter] === undefined) {
 		return 0;
 	}
 	const dated = Date.parse(headers.date ?? '');
 	const sentAt = Number.isNaN(dated) ? wallNow : dated;
-	const backoffs = (headersDistinct[names.rest] ?? []).map(text => parseRetryAfter(text, sentAt));
+	const backoffs = (headersDistinct[names.retryAfter] ?? []).map(text => parseRetryAfter(text, sentAt));
 	return Math.max(0, ...backoffs);
 }
 
--- a/src/plugins/forwarding/common/targets/targetState.ts
+++ b/src/plugins/forwarding/common/targets/targetState.ts
@@ -8,7 +8,7 @@
 import type { RegionLoad } from '../placement/regionLoad.js';
 import { TargetHealth } from './targetHealth.js';
 import { TargetBackoff } from './targetBackoff.js';
-import type { LoadReport } from './targetWord.js';
+import type { LoadReport } from './targetReport.js';
 
 /** Load reports older than this are ignored. */
 const LOAD_REPORT_MAX_AGE_MS = 1500;
@@ -21,7 +21,7 @@
 	/** Failure rate and response time. */
 	readonly health = new TargetHealth();
 	/** Backoff that the target asked for. */
-	readonly rest = new TargetBackoff();
+	readonly backoff = new TargetBackoff();
 	/** Number of requests of this instance that are in progress at the target. */
 	inFlight = 0;
 	/** Whether this instance has sent a request to the target. */
@@ -67,12 +67,12 @@
 	}
 
 	private _estimatedLoad(now: Millis): number {
-		return this.regionLoad.meanFill(now) * this.slots;
+		return this.regionLoad.meanUtilization(now) * this.slots;
 	}
 
 	/** Applies the load report of a response. Must be called while the request still counts as in flight. */
 	applyLoadReport(report: LoadReport, now: Millis): void {
-		this.regionLoad.note((report.running + report.waiting) / Math.max(1, report.slots), now);
+		this.regionLoad.recordUtilization((report.running + report.waiting) / Math.max(1, report.slots), now);
 		this._otherInstancesLoad = Math.max(0, report.running + report.waiting - Math.max(0, this.inFlight - 1));
 		this._loadReportedAt = now;
 	}
@@ -88,7 +88,7 @@
 	 * @param perSecond this instance's share of the request rate that the target accepts while it is cold
 	 * @returns false if no token is available
 	 */
-	takeColdToken(perSecond: number, now: Millis): boolean {
+	tryTakeColdToken(perSecond: number, now: Millis): boolean {
 		this._refillColdTokens(perSecond, now);
 		if (this._coldTokens < 1) {
 			return false;
--- a/src/plugins/forwarding/node/attemptSender.ts
+++ b/src/plugins/forwarding/node/attemptSender.ts
@@ -13,17 +13,17 @@
 import type { FleetView } from '../../fleet/common/fleetView.js';
 import { type AttemptOutcome, NotRunCause } from '../common/attempt.js';
 import type { IHeaderNames } from '../common/headerNames.js';
-import type { LargeAnswerGate } from '../common/largeAnswerGate.js';
-import { connectTimeoutMs, heldBytes } from '../common/linkPacer.js';
+import type { LargeResponseLimiter } from '../common/largeResponseLimiter.js';
+import { connectTimeoutMs, maxBufferedBytes } from '../common/linkPacer.js';
 import type { AttemptTrace } from '../common/requestTrace.js';
 import type { ChosenTarget } from '../common/placement/targetChoice.js';
-import type { TargetWord } from '../common/targets/targetWord.js';
-import { describeOutcome, type Journey, mayHaveRun } from './journey.js';
-import type { LostRunWatch } from './lostRunWatch.js';
-import type { LimitWatch } from './targets/limitWatch.js';
-import type { OutcomeNotes } from './targets/outcomeNotes.js';
-import type { RegionWatch } from './placement/regionWatch.js';
-import type { RestWatch } from './targets/restWatch.js';
+import type { TargetReport } from '../common/targets/targetReport.js';
+import { describeOutcome, type RequestContext, mayHaveRun } from './requestContext.js';
+import type { LostRunDetector } from './lostRunDetector.js';
+import type { LimitMonitor } from './targets/limitMonitor.js';
+import type { OutcomeTracker } from './targets/outcomeTracker.js';
+import type { RegionTrafficMonitor } from './placement/regionTrafficMonitor.js';
+import type { BackoffMonitor } from './targets/backoffMonitor.js';
 import { TargetAgent } from './targets/targetAgent.js';
 import { TargetExchange, type CancelCause } from './targetExchange.js';
 import { TargetHeaders } from './targetHeaders.js';
@@ -42,14 +42,14 @@
 	/** Bandwidth of the network link of this instance, in one direction. */
 	readonly linkMbit: number;
 	readonly headerNames: IHeaderNames;
-	readonly outcomeTracker: OutcomeNotes;
-	readonly regionTrafficMonitor: RegionWatch;
-	readonly largeResponseLimiter: LargeAnswerGate;
+	readonly outcomeTracker: OutcomeTracker;
+	readonly regionTrafficMonitor: RegionTrafficMonitor;
+	readonly largeResponseLimiter: LargeResponseLimiter;
 	readonly view: FleetView;
-	readonly lostRunDetector: LostRunWatch;
-	readonly backoffMonitor: RestWatch;
+	readonly lostRunDetector: LostRunDetector;
+	readonly backoffMonitor: BackoffMonitor;
 	readonly limits: ITargetLimits;
-	readonly limitMonitor: LimitWatch;
+	readonly limitMonitor: LimitMonitor;
 }
 
 /** Runs the attempts of this instance and owns the connections to targets. */
@@ -66,11 +66,11 @@
 		super();
 		const { linkMbit, headerNames } = _dependencies;
 		this._headers = new TargetHeaders(headerNames);
-		this._maxBufferedBytes = heldBytes(linkMbit);
+		this._maxBufferedBytes = maxBufferedBytes(linkMbit);
 		this._sameRegionConnectMs = connectTimeoutMs(linkMbit, SAME_REGION_CONNECT_MS);
 		this._crossRegionConnectMs = connectTimeoutMs(linkMbit, CROSS_REGION_CONNECT_MS);
 		this._register(toDisposable(() => this._agent.destroy()));
-		this._register(_dependencies.view.onDidOutlive(earlier => this._failInFlightTo(earlier)));
+		this._register(_dependencies.view.onDidRestartTarget(earlier => this._failInFlightTo(earlier)));
 		this._register(_dependencies.limits.onDidChange(event => this._onLimitChange(event)));
 	}
 
@@ -79,7 +79,7 @@
 	 * backoff, has a rate limit and no permit is given, or has no connection left for this instance.
 	 * @param permit permit within the target's rate limit, given back when nothing was written; undefined for none
 	 */
-	async send(context: Journey, candidate: ChosenTarget, permit: IPermit | undefined): Promise<AttemptOutcome> {
+	async send(context: RequestContext, candidate: ChosenTarget, permit: IPermit | undefined): Promise<AttemptOutcome> {
 		const { exchange } = context;
 		const { known, state } = candidate;
 		const now = systemClock.now();
@@ -89,7 +89,7 @@
 			permit?.giveBack();
 			return notSent(blockingCause);
 		}
-		this._dependencies.backoffMonitor.noteSend(known.record, state, now);
+		this._dependencies.backoffMonitor.recordSendStart(known.record, state, now);
 		const targetExchange = this._startExchange(context, candidate, now);
 		state.inFlight++;
 		state.isUsed = true;
@@ -97,7 +97,7 @@
 		exchange.setDisconnectHandler(() => targetExchange.abandon());
 		const trace = createTrace(context, candidate, now);
 		if (context.attempts.length === 0) {
-			this._dependencies.regionTrafficMonitor.noteFirstTry(candidate.firstRegion, known.region);
+			this._dependencies.regionTrafficMonitor.recordFirstAttempt(candidate.firstRegion, known.region);
 		}
 		context.attempts.push(trace);
 		this._inFlight.set(targetExchange, known.record);
@@ -114,9 +114,9 @@
 		const { outcomeTracker, lostRunDetector, backoffMonitor, limitMonitor } = this._dependencies;
 		lostRunDetector.recordAttempt(context, known.record, outcome, now);
 		const request = { chosenAt: now, writtenAt: targetExchange.writtenAt, outcome };
-		backoffMonitor.noteSent(known.record, state, request);
-		limitMonitor.noteSent(known.record, request, context.attempts[0] === trace);
-		outcomeTracker.noteOutcome(context, state, outcome, endedAt - now, endedAt);
+		backoffMonitor.recordSent(known.record, state, request);
+		limitMonitor.recordSent(known.record, request, context.attempts[0] === trace);
+		outcomeTracker.recordOutcome(context, state, outcome, endedAt - now, endedAt);
 		if (outcome.type === 'answer') {
 			this._recordResponseSize(context.route, targetExchange.responseHeaders?.['content-length']);
 		}
@@ -134,14 +134,14 @@
 		now: Millis
 	): NotRunCause | undefined {
 		const { limits } = this._dependencies;
-		if (state.rest.isAsked(now)) {
-			return NotRunCause.AtRest;
+		if (state.backoff.isActive(now)) {
+			return NotRunCause.BackingOff;
 		}
 		if (!permit && limits.perSecond(known.record, now) !== undefined) {
-			return NotRunCause.AtLimit;
+			return NotRunCause.RateLimited;
 		}
 		const [host, port] = splitAddress(known.record.address);
-		const hasRoom = this._agent.hasRoom(host, port, this._maxConnections(known.record));
+		const hasRoom = this._agent.hasAvailableConnection(host, port, this._maxConnections(known.record));
 		return hasRoom ? undefined : NotRunCause.ConnectionsInUse;
 	}
 
@@ -151,24 +151,24 @@
 		const maxConnections = view.routes?.service(service)?.maxConnections;
 		return maxConnections === undefined
 			? Number.POSITIVE_INFINITY
-			: Math.max(1, Math.floor(maxConnections / view.mostEntries));
+			: Math.max(1, Math.floor(maxConnections / view.peakEntryCount));
 	}
 
 	/** Applies what the target reported in response headers: load, backoff, shutdown and rate limit. */
-	private _applyTargetReport({ known, state }: ChosenTarget, report: TargetWord, askedAt: Millis): void {
+	private _applyTargetReport({ known, state }: ChosenTarget, report: TargetReport, askedAt: Millis): void {
 		const now = systemClock.now();
 		const { outcomeTracker, backoffMonitor } = this._dependencies;
 		this._applyTargetLimit(known.record, report, askedAt);
-		outcomeTracker.noteLoad(state, report.load, now);
-		backoffMonitor.noteWord(known.record, state, report, state.inFlight, now);
-		state.rest.hear(report, now);
-		if (state.rest.isAsked(now)) {
-			this._cancelUnwrittenTo(known.record, NotRunCause.AtRest);
+		outcomeTracker.recordLoad(state, report.load, now);
+		backoffMonitor.recordReport(known.record, state, report, state.inFlight, now);
+		state.backoff.apply(report, now);
+		if (state.backoff.isActive(now)) {
+			this._cancelUnwrittenTo(known.record, NotRunCause.BackingOff);
 		}
 	}
 
-	private _applyTargetLimit(record: TargetRecord, report: TargetWord, askedAt: Millis): void {
-		const { limitPerSecond: perSecond, hasEcho } = report;
+	private _applyTargetLimit(record: TargetRecord, report: TargetReport, askedAt: Millis): void {
+		const { limitPerSecond: perSecond, echoesRequestId: hasEcho } = report;
 		if (perSecond !== undefined || hasEcho) {
 			this._dependencies.limits.hear(record, { perSecond, askedAt });
 		}
@@ -177,7 +177,7 @@
 	/** Requests already in flight when a target first names a limit hold no permit, so those not yet written are cancelled. */
 	private _onLimitChange({ record, change }: TargetLimitEvent): void {
 		if (change === LimitChange.Named) {
-			this._cancelUnwrittenTo(record, NotRunCause.AtLimit);
+			this._cancelUnwrittenTo(record, NotRunCause.RateLimited);
 		}
 	}
 
@@ -192,7 +192,7 @@
 
 	/** Fails the attempts at the previous process of a restarted target. Across a network partition their connections report no error. */
 	private _failInFlightTo({ id, bornAt, address }: TargetRecord): void {
-		this._agent.closeRestingTo(...splitAddress(address));
+		this._agent.closeIdleConnections(...splitAddress(address));
 		for (const [targetExchange, record] of this._inFlight) {
 			if (record.id === id && record.bornAt <= bornAt) {
 				targetExchange.failOnTargetRestart();
@@ -200,7 +200,7 @@
 		}
 	}
 
-	private _startExchange(context: Journey, candidate: ChosenTarget, now: Millis): TargetExchange {
+	private _startExchange(context: RequestContext, candidate: ChosenTarget, now: Millis): TargetExchange {
 		const { exchange, body } = context;
 		const { known } = candidate;
 		const [host, port] = splitAddress(known.record.address);
@@ -222,7 +222,7 @@
 
 	private _recordResponseSize(route: Route, contentLength: string | undefined): void {
 		if (route.repeatRule === RepeatRule.LargeAnswer && contentLength !== undefined) {
-			this._dependencies.largeResponseLimiter.noteSize(route, Number(contentLength));
+			this._dependencies.largeResponseLimiter.recordSize(route, Number(contentLength));
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	return [host, Number(port)];
 }
 
-function createTrace({ exchange }: Journey, candidate: ChosenTarget, now: Millis): AttemptTrace {
+function createTrace({ exchange }: RequestContext, candidate: ChosenTarget, now: Millis): AttemptTrace {
 	const { known, state, firstRegion, passedOver } = candidate;
 	return {
 		target: known.record.id,
--- a/src/plugins/forwarding/node/callerExchange.ts
+++ b/src/plugins/forwarding/node/callerExchange.ts
@@ -9,9 +9,9 @@
 import { type Millis, systemClock } from '../../../base/clock.js';
 import type { RefusalReason, Verdict } from '../../../base/verdict.js';
 import { digestKey } from '../../routes/common/teamIndex.js';
-import type { TargetAnswer } from '../common/attempt.js';
+import type { TargetResponse } from '../common/attempt.js';
 import type { IHeaderNames } from '../common/headerNames.js';
-import { cookieValue, passedHeaders } from '../common/hopHeaders.js';
+import { cookieValue, endToEndHeaders } from '../common/hopByHopHeaders.js';
 import type { LinkScheduler } from './linkScheduler.js';
 import { PacedBody } from './pacedBody.js';
 
@@ -66,7 +66,7 @@
 	}
 
 	/** Whether the connection closed before the caller had the whole response. */
-	get hasLeft(): boolean {
+	get isDisconnected(): boolean {
 		return this._isDisconnected;
 	}
 
@@ -101,17 +101,17 @@
 	}
 
 	/** Forwards a target's response. When it is truncated on the way, the caller's connection is closed. */
-	forwardResponse(response: TargetAnswer): void {
+	forwardResponse(response: TargetResponse): void {
 		if (this._isDisconnected) {
-			response.rest?.destroy();
+			response.remainingBody?.destroy();
 			return;
 		}
 		this._writeHead(response);
-		if (!response.rest) {
+		if (!response.remainingBody) {
 			this._response.end(response.body);
 			return;
 		}
-		this._streamBody(response.body, response.rest);
+		this._streamBody(response.body, response.remainingBody);
 	}
 
 	/** Streams a body that is not buffered whole, at the rate that the link scheduler allows. */
@@ -135,10 +135,10 @@
 		remainingBody.pipe(paced).pipe(this._response);
 	}
 
-	private _writeHead(response: TargetAnswer): void {
+	private _writeHead(response: TargetResponse): void {
 		const isHeadRequest = this.request.method === 'HEAD';
-		const isBuffered = response.rest === undefined && !response.endsWithConnection && !isHeadRequest;
-		const headers = passedHeaders(response.rawHeaders, isBuffered ? CONTENT_LENGTH : NO_HEADERS);
+		const isBuffered = response.remainingBody === undefined && !response.endsWithConnection && !isHeadRequest;
+		const headers = endToEndHeaders(response.rawHeaders, isBuffered ? CONTENT_LENGTH : NO_HEADERS);
 		if (isBuffered) {
 			headers.push('Content-Length', String(response.body.length));
 		}
--- a/src/plugins/forwarding/node/forwardingTask.ts
+++ b/src/plugins/forwarding/node/forwardingTask.ts
@@ -19,11 +19,11 @@
 import { ITeamLimits, LimitVerdict } from '../../limits/common/teamLimits.js';
 import { RepeatRule, type Route } from '../../routes/common/routeTable.js';
 import { accessOf } from '../../routes/common/teamAccess.js';
-import type { TargetAnswer } from '../common/attempt.js';
+import type { TargetResponse } from '../common/attempt.js';
 import type { FrontSettings } from '../common/frontSettings.js';
 import { IHeaderNames } from '../common/headerNames.js';
-import { LargeAnswerGate } from '../common/largeAnswerGate.js';
-import { chooseService } from '../common/placement/partChoice.js';
+import { LargeResponseLimiter } from '../common/largeResponseLimiter.js';
+import { chooseService } from '../common/placement/weightedServiceChoice.js';
 import type { ChosenTarget } from '../common/placement/targetChoice.js';
 import { IServiceBounds } from '../common/serviceBounds.js';
 import type { CallerExchange, LocalResponse } from './callerExchange.js';
@@ -32,20 +32,20 @@
 import {
 	accessDeniedResponse,
 	requestEndOf,
-	type Journey,
+	type RequestContext,
 	teamLimitResponse,
 	quarantinedResponse,
 	unavailableResponse
-} from './journey.js';
+} from './requestContext.js';
 import { RetryPolicy, SHORT_RETRY_AFTER_MS } from './retryPolicy.js';
-import { LostRunWatch } from './lostRunWatch.js';
-import { LimitWatch } from './targets/limitWatch.js';
-import { OutcomeNotes } from './targets/outcomeNotes.js';
+import { LostRunDetector } from './lostRunDetector.js';
+import { LimitMonitor } from './targets/limitMonitor.js';
+import { OutcomeTracker } from './targets/outcomeTracker.js';
 import { QuarantineGuard } from './quarantineGuard.js';
-import { RegionWatch } from './placement/regionWatch.js';
+import { RegionTrafficMonitor } from './placement/regionTrafficMonitor.js';
 import { RequestBody } from './requestBody.js';
 import { RequestEnd, RequestRecorder } from './requestRecorder.js';
-import { RestWatch } from './targets/restWatch.js';
+import { BackoffMonitor } from './targets/backoffMonitor.js';
 import { TargetSelector } from './placement/targetSelector.js';
 
 /** No attempt is started with less time than this left before the deadline. */
@@ -59,9 +59,9 @@
 /** Forwards all callers' requests of this instance. */
 export class ForwardingTask extends Disposable implements IForwarding {
 	private readonly _recorder: RequestRecorder;
-	private readonly _outcomeTracker = new OutcomeNotes();
+	private readonly _outcomeTracker = new OutcomeTracker();
 	private readonly _selector: TargetSelector;
-	private readonly _largeResponseLimiter: LargeAnswerGate;
+	private readonly _largeResponseLimiter: LargeResponseLimiter;
 	private readonly _attemptSender: AttemptSender;
 	private readonly _quarantineGuard: QuarantineGuard;
 	private readonly _retryPolicy: RetryPolicy;
@@ -80,7 +80,7 @@
 		this._recorder = new RequestRecorder(metrics, log);
 		const instance = settings.section<InstanceSettings>('instance');
 		const { linkMbit } = settings.section<FrontSettings>('front');
-		this._largeResponseLimiter = new LargeAnswerGate(linkMbit);
+		this._largeResponseLimiter = new LargeResponseLimiter(linkMbit);
 		const regions = [...new Set(settings.section<PlaceSettings>('places').halls.values())];
 		const share = new PaceShare(instance.name, () => this._session.ageMs());
 		this._selector = new TargetSelector(
@@ -91,11 +91,11 @@
 			share,
 			this._targetLimits
 		);
-		const { onDidStepFar } = this._selector;
+		const { onDidShiftFromLostTargets: onDidStepFar } = this._selector;
 		const regionTrafficMonitor = this._register(
-			new RegionWatch(_session, log, this._serviceBounds.shifts.windowMs, onDidStepFar)
+			new RegionTrafficMonitor(_session, log, this._serviceBounds.shifts.windowMs, onDidStepFar)
 		);
-		const lostRunDetector = this._register(new LostRunWatch(metrics, log));
+		const lostRunDetector = this._register(new LostRunDetector(metrics, log));
 		this._quarantineGuard = this._register(new QuarantineGuard(_session, lostRunDetector));
 		this._retryPolicy = new RetryPolicy(_session.view, this._selector, this._quarantineGuard, _serviceBounds);
 		this._attemptSender = this._register(
@@ -108,9 +108,9 @@
 				largeResponseLimiter: this._largeResponseLimiter,
 				view: _session.view,
 				lostRunDetector,
-				backoffMonitor: new RestWatch(metrics, log, now => this._selector.restingByService(now)),
+				backoffMonitor: new BackoffMonitor(metrics, log, now => this._selector.backedOffByService(now)),
 				limits: this._targetLimits,
-				limitMonitor: this._register(new LimitWatch(metrics, log, this._targetLimits))
+				limitMonitor: this._register(new LimitMonitor(metrics, log, this._targetLimits))
 			})
 		);
 		const timer = setInterval(() => this._reportDemand(), DEMAND_REPORT_INTERVAL_MS);
@@ -120,7 +120,9 @@
 	private _reportDemand(): void {
 		const now = systemClock.now();
 		this._session.setDemand(this._outcomeTracker.slotsNeeded(now));
-		this._session.addNeeds(this._selector.takeNeeds(service => this._outcomeTracker.typicalMs(service, now)));
+		this._session.addRequestedWork(
+			this._selector.takeRequestedWork(service => this._outcomeTracker.serviceTimeMs(service, now))
+		);
 	}
 
 	async serve(exchange: CallerExchange): Promise<void> {
@@ -146,9 +148,9 @@
 			return;
 		}
 		const service = chooseService(route, exchange.requestId);
-		this._outcomeTracker.noteRequest(service, exchange.arrivedAt);
-		this._retryPolicy.retryBudgetOf(service).noteFirstTry(exchange.arrivedAt);
-		const context: Journey = {
+		this._outcomeTracker.recordRequest(service, exchange.arrivedAt);
+		this._retryPolicy.retryBudgetOf(service).recordFirstAttempt(exchange.arrivedAt);
+		const context: RequestContext = {
 			exchange,
 			route,
 			homeRegions: access.homeRegions,
@@ -184,7 +186,7 @@
 		if (route.repeatRule !== RepeatRule.LargeAnswer) {
 			return true;
 		}
-		const bytes = this._largeResponseLimiter.admit(route);
+		const bytes = this._largeResponseLimiter.tryAdmit(route);
 		if (bytes === undefined) {
 			return false;
 		}
@@ -192,9 +194,9 @@
 		return true;
 	}
 
-	private async _forward(context: Journey): Promise<void> {
+	private async _forward(context: RequestContext): Promise<void> {
 		const { exchange } = context;
-		while (!exchange.hasLeft) {
+		while (!exchange.isDisconnected) {
 			const now = systemClock.now();
 			if (context.deadline - now < MIN_REMAINING_MS) {
 				this._finishWithLocalResponse(context, unavailableResponse(RefusalReason.DeadlinePassed, SHORT_RETRY_AFTER_MS));
@@ -210,7 +212,7 @@
 				this._finishWithLocalResponse(context, limitExceeded);
 				return;
 			}
-			if (exchange.hasLeft) {
+			if (exchange.isDisconnected) {
 				return;
 			}
 			context.phase = this._quarantineGuard.phase(context);
@@ -228,7 +230,7 @@
 				continue;
 			}
 			const outcome = await this._attemptSender.send(context, candidate, permit);
-			this._quarantineGuard.noteOutcome(context, outcome);
+			this._quarantineGuard.recordOutcome(context, outcome);
 			const decision = this._retryPolicy.decide(context, outcome);
 			if (decision === 'again') {
 				continue;
@@ -247,7 +249,7 @@
 	 * leave it unused.
 	 * @returns the response that refuses the request where no permit was granted; otherwise undefined
 	 */
-	private async _acquireTeamPermit(context: Journey): Promise<LocalResponse | undefined> {
+	private async _acquireTeamPermit(context: RequestContext): Promise<LocalResponse | undefined> {
 		if (context.hasTeamPermit || !context.team) {
 			return undefined;
 		}
@@ -257,7 +259,10 @@
 	}
 
 	/** Takes a permit from the target's rate limit; undefined where the target has no limit, `'none'` where no permit is available. */
-	private async _acquireTargetPermit(context: Journey, { known }: ChosenTarget): Promise<IPermit | 'none' | undefined> {
+	private async _acquireTargetPermit(
+		context: RequestContext,
+		{ known }: ChosenTarget
+	): Promise<IPermit | 'none' | undefined> {
 		if (this._targetLimits.perSecond(known.record, systemClock.now()) === undefined) {
 			return undefined;
 		}
@@ -267,21 +272,21 @@
 	}
 
 	/** Checks access again before each attempt, since a key can be revoked between attempts; undefined where access is still granted. */
-	private _recheckAccess({ route, exchange }: Journey): LocalResponse | undefined {
+	private _recheckAccess({ route, exchange }: RequestContext): LocalResponse | undefined {
 		const { routes } = this._session.view;
 		const access = routes && accessOf(routes, route, exchange.keyDigest);
 		return access && !access.isGranted ? accessDeniedResponse(access) : undefined;
 	}
 
-	private _finishWithTargetResponse(context: Journey, response: TargetAnswer): void {
+	private _finishWithTargetResponse(context: RequestContext, response: TargetResponse): void {
 		context.exchange.forwardResponse(response);
 		this._record(context, RequestEnd.Answered, response.status);
 	}
 
 	/** Ends the request without a further attempt; a server error that a target returned earlier goes before the local response. */
-	private _finishWithLocalResponse(context: Journey, response: LocalResponse): void {
+	private _finishWithLocalResponse(context: RequestContext, response: LocalResponse): void {
 		const { exchange, errorResponse } = context;
-		if (errorResponse && !exchange.hasLeft) {
+		if (errorResponse && !exchange.isDisconnected) {
 			this._finishWithTargetResponse(context, errorResponse);
 			return;
 		}
@@ -290,13 +295,13 @@
 		exchange.sendLocalResponse(finalResponse);
 		this._record(
 			context,
-			exchange.hasLeft ? RequestEnd.CallerDisconnected : requestEndOf(finalResponse),
+			exchange.isDisconnected ? RequestEnd.CallerDisconnected : requestEndOf(finalResponse),
 			finalResponse.status,
 			finalResponse.reason
 		);
 	}
 
-	private _record(context: Journey, end: RequestEnd, status?: number, reason?: string): void {
+	private _record(context: RequestContext, end: RequestEnd, status?: number, reason?: string): void {
 		const { exchange, route, service, team, attempts } = context;
 		const tableVersion = this._session.view.routes?.table.version;
 		const viewAgeMs = this._session.ageMs();
--- a/src/plugins/forwarding/node/linkScheduler.ts
+++ b/src/plugins/forwarding/node/linkScheduler.ts
@@ -24,7 +24,7 @@
 	constructor(private readonly _pacer: LinkPacer) {}
 
 	/** A number for a new body. */
-	nextOrder(): number {
+	nextBodyNumber(): number {
 		return ++this._lastBodyNumber;
 	}
 
--- a/src/plugins/forwarding/node/lostRunWatch.ts
+++ b/src/plugins/forwarding/node/lostRunDetector.ts
@@ -14,20 +14,20 @@
 import type { ILogService } from '../../../kernel/node/logService.js';
 import type { IMetricsService } from '../../../kernel/node/metricsService.js';
 import type { TargetRecord } from '../../fleet/common/fleetTypes.js';
-import { QuarantinePhase, type SeenRun } from '../../fleet/common/quarantineTypes.js';
-import { type AttemptOutcome, BrokenCause } from '../common/attempt.js';
-import { TraceSampler } from '../common/requestTrace.js';
-import type { Journey } from './journey.js';
+import { QuarantinePhase, type ObservedLostRun } from '../../fleet/common/quarantineTypes.js';
+import { type AttemptOutcome, ResponseFailureCause } from '../common/attempt.js';
+import { LogSampler } from '../common/requestTrace.js';
+import type { RequestContext } from './requestContext.js';
 import { identityOf } from './requestDigest.js';
 import { TargetProbe } from './targets/targetProbe.js';
 
 /** Detects the runs sent by this instance that were lost with their targets. */
-export class LostRunWatch extends Disposable {
-	private readonly _onDidLose = this._register(new Emitter<SeenRun>());
+export class LostRunDetector extends Disposable {
+	private readonly _onDidLose = this._register(new Emitter<ObservedLostRun>());
 	/** Fires for each run whose target stopped. */
 	readonly onDidLose = this._onDidLose.event;
 	private readonly _probe = new TargetProbe();
-	private readonly _sampler = new TraceSampler();
+	private readonly _sampler = new LogSampler();
 	private readonly _lostRuns: Counter;
 
 	constructor(
@@ -46,14 +46,14 @@
 	 * Records the outcome of an attempt; probes the target in the background where its connection was lost.
 	 * @param sentAt when the attempt was sent, on the monotonic clock
 	 */
-	recordAttempt(context: Journey, target: TargetRecord, outcome: AttemptOutcome, sentAt: Millis): void {
+	recordAttempt(context: RequestContext, target: TargetRecord, outcome: AttemptOutcome, sentAt: Millis): void {
 		const afterTargetId = context.lostTargetId;
 		context.lostTargetId = undefined;
 		if (outcome.type !== 'broken' || !isConnectionLoss(outcome.cause)) {
 			return;
 		}
 		context.lostTargetId = target.id;
-		const run: SeenRun = {
+		const run: ObservedLostRun = {
 			...identityOf(context),
 			requestId: context.exchange.requestId,
 			team: context.team?.name ?? '',
@@ -66,12 +66,12 @@
 		void this._reportIfTargetStopped(context, run, target.address);
 	}
 
-	private async _reportIfTargetStopped(context: Journey, run: SeenRun, address: string): Promise<void> {
+	private async _reportIfTargetStopped(context: RequestContext, run: ObservedLostRun, address: string): Promise<void> {
 		const { digest, requestId, targetId: target, team, wasSuspected, sentAt, endedAt } = run;
-		if (!(await this._probe.hasEnded(target, address))) {
+		if (!(await this._probe.refusesConnections(target, address))) {
 			return;
 		}
-		context.hasEndedTarget = true;
+		context.wasLostWithTarget = true;
 		this._lostRuns.inc();
 		if (this._sampler.admits(false, endedAt)) {
 			const ranMs = Math.round(endedAt - sentAt);
@@ -82,6 +82,6 @@
 	}
 }
 
-function isConnectionLoss(cause: BrokenCause): boolean {
-	return cause === BrokenCause.ConnectionLost || cause === BrokenCause.BrokenOff;
+function isConnectionLoss(cause: ResponseFailureCause): boolean {
+	return cause === ResponseFailureCause.ConnectionLost || cause === ResponseFailureCause.ResponseTruncated;
 }
--- a/src/plugins/forwarding/node/pacedBody.ts
+++ b/src/plugins/forwarding/node/pacedBody.ts
@@ -5,7 +5,7 @@
 /** Limits large bodies to the bandwidth of the instance's network link; back-pressure from a slow reader reaches the source. */
 
 import { Transform, type TransformCallback } from 'node:stream';
-import { PACED_PIECE_BYTES } from '../common/linkPacer.js';
+import { PACED_CHUNK_BYTES } from '../common/linkPacer.js';
 import type { LinkScheduler } from './linkScheduler.js';
 
 /** Passes a body through in small chunks, each when the link scheduler releases it. */
@@ -13,8 +13,8 @@
 	private readonly _bodyNumber: number;
 
 	constructor(private readonly _scheduler: LinkScheduler) {
-		super({ highWaterMark: PACED_PIECE_BYTES });
-		this._bodyNumber = _scheduler.nextOrder();
+		super({ highWaterMark: PACED_CHUNK_BYTES });
+		this._bodyNumber = _scheduler.nextBodyNumber();
 	}
 
 	override _transform(chunk: Buffer, _encoding: BufferEncoding, done: TransformCallback): void {
@@ -26,7 +26,7 @@
 			done();
 			return;
 		}
-		const slice = chunk.subarray(offset, offset + PACED_PIECE_BYTES);
+		const slice = chunk.subarray(offset, offset + PACED_CHUNK_BYTES);
 		this._scheduler.request(this._bodyNumber, slice.length, () => {
 			if (!this.destroyed) {
 				this.push(slice);
--- a/src/plugins/forwarding/node/placement/regionWatch.ts
+++ b/src/plugins/forwarding/node/placement/regionTrafficMonitor.ts
@@ -16,7 +16,7 @@
 import { RegionTraffic } from '../../common/placement/regionTraffic.js';
 
 /** Writes the log lines about regions. */
-export class RegionWatch extends Disposable {
+export class RegionTrafficMonitor extends Disposable {
 	private readonly _traffic = new RegionTraffic();
 
 	/** @param windowMs interval between log lines: the window of the shift bounds */
@@ -36,7 +36,7 @@
 	 * Counts the first attempt of a request.
 	 * @param planned region that the shares assigned; undefined if there were no shares
 	 */
-	noteFirstTry(planned: string | undefined, sent: string): void {
+	recordFirstAttempt(planned: string | undefined, sent: string): void {
 		this._traffic.record(planned, sent);
 	}
 
--- a/src/plugins/forwarding/node/placement/targetSelector.ts
+++ b/src/plugins/forwarding/node/placement/targetSelector.ts
@@ -7,7 +7,7 @@
 import type { Millis } from '../../../../base/clock.js';
 import type { FleetView } from '../../../fleet/common/fleetView.js';
 import type { PaceShare } from '../../../fleet/common/paceShare.js';
-import type { WorkByTarget } from '../../../fleet/common/targetNeeds.js';
+import type { WorkByTarget } from '../../../fleet/common/requestedWork.js';
 import { RepeatRule, type Route } from '../../../routes/common/routeTable.js';
 import type { ITargetRoom } from '../../../limits/common/targetLimits.js';
 import { NotRunCause } from '../../common/attempt.js';
@@ -15,7 +15,7 @@
 import type { Event } from '../../../../base/event.js';
 import { type InstanceLocation, PlacementPlans, type RouteShareJump } from '../../common/placement/placementPlans.js';
 import { regionAtPosition } from '../../common/placement/regionShares.js';
-import type { PassedTarget } from '../../common/requestTrace.js';
+import type { SkippedTarget } from '../../common/requestTrace.js';
 import type { ShiftBounds } from '../../common/placement/sharePacer.js';
 import { SpillAllowance } from '../../common/placement/spillAllowance.js';
 import {
@@ -27,7 +27,7 @@
 	regionPosition
 } from '../../common/placement/targetChoice.js';
 import type { CallerExchange } from '../callerExchange.js';
-import type { Journey } from '../journey.js';
+import type { RequestContext } from '../requestContext.js';
 import { TargetStates } from '../targets/targetStates.js';
 
 /** Fraction of a cold target's rate limit that is used: a margin for requests that arrive closer together than sent. */
@@ -46,7 +46,7 @@
 /** When and why capacity becomes available again. */
 export interface NextCapacity {
 	/** Why no target takes the request now. */
-	readonly cause: NotRunCause.AtRest | NotRunCause.AtLimit;
+	readonly cause: NotRunCause.BackingOff | NotRunCause.RateLimited;
 	readonly at: Millis;
 	/** Time between permits for the callers of one instance; 0 if there is capacity for all of them at once. */
 	readonly intervalMs: Millis;
@@ -62,7 +62,7 @@
 	/** Number of requests since the last report, by id of the primary target of their objects. */
 	private _primaryRequests = new Map<string, number>();
 	/** Fires when shares moved off lost targets, exempt from the shift bounds. */
-	readonly onDidStepFar: Event<RouteShareJump>;
+	readonly onDidShiftFromLostTargets: Event<RouteShareJump>;
 
 	/**
 	 * @param regions all regions, with or without targets
@@ -79,19 +79,21 @@
 	) {
 		this._states = new TargetStates(_view, _targetLimits);
 		this._plans = new PlacementPlans(_view, _instance, regions, shiftBounds);
-		this._spill = new SpillAllowance(shiftBounds.mostMoved);
-		this.onDidStepFar = this._plans.onDidShiftFromLostTargets;
+		this._spill = new SpillAllowance(shiftBounds.maxMovedFraction);
+		this.onDidShiftFromLostTargets = this._plans.onDidShiftFromLostTargets;
 	}
 
 	/** Returns the target for the next attempt of a request; undefined if none can take it now. */
-	choose(request: Journey, now: Millis): ChosenTarget | undefined {
+	choose(request: RequestContext, now: Millis): ChosenTarget | undefined {
 		const { route, service, exchange, homeRegions, tried } = request;
 		const mayAsk = mayAskForPermit(request);
-		const {
-			candidates,
-			resting: deferred,
-			standing: reachableRegions
-		} = this._states.candidates(service, homeRegions, tried, mayAsk, now);
+		const { candidates, deferred, reachableRegions } = this._states.candidates(
+			service,
+			homeRegions,
+			tried,
+			mayAsk,
+			now
+		);
 		const objectKey = scopedObjectKey(route, exchange);
 		const context: ChoiceContext = {
 			objectKey,
@@ -123,15 +125,17 @@
 	 * Returns when capacity becomes available again for a request if all targets that it may use back off or are rate limited;
 	 * undefined if one of them takes requests or there are none.
 	 */
-	roomReturns(request: Journey, now: Millis): NextCapacity | undefined {
+	nextCapacity(request: RequestContext, now: Millis): NextCapacity | undefined {
 		const { route, service, homeRegions, exchange } = request;
 		// Permits that the request may no longer ask for don't count as capacity, or all its callers would retry at once.
 		const mayAsk = mayAskForPermit(request);
-		const {
-			candidates,
-			resting: deferred,
-			standing: reachableRegions
-		} = this._states.candidates(service, homeRegions, NO_TARGET_IDS, mayAsk, now);
+		const { candidates, deferred, reachableRegions } = this._states.candidates(
+			service,
+			homeRegions,
+			NO_TARGET_IDS,
+			mayAsk,
+			now
+		);
 		const { shares } = this._plans.planFor(service, { route, homeRegions }, now);
 		const region = regionAtPosition(shares, regionPosition(scopedObjectKey(route, exchange) ?? exchange.requestId));
 		const isEligible = ({ known }: Candidate): boolean =>
@@ -140,17 +144,17 @@
 		if (unavailable.length === 0 || candidates.some(isEligible)) {
 			return undefined;
 		}
-		const limited = unavailable.filter(({ state }) => !state.rest.isAsked(now));
+		const limited = unavailable.filter(({ state }) => !state.backoff.isActive(now));
 		if (limited.length > 0) {
 			return {
-				cause: NotRunCause.AtLimit,
+				cause: NotRunCause.RateLimited,
 				at: this._nextPermitAt(limited, now),
 				intervalMs: this._permitIntervalMs(limited, now)
 			};
 		}
 		return {
-			cause: NotRunCause.AtRest,
-			at: Math.min(...unavailable.map(({ state }) => state.rest.endsAt)),
+			cause: NotRunCause.BackingOff,
+			at: Math.min(...unavailable.map(({ state }) => state.backoff.endsAt)),
 			intervalMs: 0
 		};
 	}
@@ -173,20 +177,20 @@
 		primary: Candidate | undefined,
 		deferred: readonly Candidate[],
 		now: Millis
-	): PassedTarget | undefined {
+	): SkippedTarget | undefined {
 		if (!primary || !deferred.some(({ state }) => state === primary.state)) {
 			return undefined;
 		}
-		const { rest } = primary.state;
+		const { backoff: rest } = primary.state;
 		const target = primary.known.record.id;
-		return rest.isAsked(now)
+		return rest.isActive(now)
 			? { target, restLeftMs: Math.round(rest.endsAt - now) }
 			: { target, limitPerSecond: this._targetLimits.perSecond(primary.known.record, now) };
 	}
 
 	/** Number of targets that back off, by service. */
-	restingByService(now: Millis): ReadonlyMap<string, number> {
-		return this._states.restingByService(now);
+	backedOffByService(now: Millis): ReadonlyMap<string, number> {
+		return this._states.backedOffByService(now);
 	}
 
 	/**
@@ -194,7 +198,7 @@
 	 * call, and resets it.
 	 * @param serviceTimeMs returns the time that a request of a service takes without queueing
 	 */
-	takeNeeds(serviceTimeMs: (service: string) => Millis): WorkByTarget {
+	takeRequestedWork(serviceTimeMs: (service: string) => Millis): WorkByTarget {
 		const workOf = (id: string, requests: number): number => {
 			const service = this._view.target(id)?.record.service;
 			return service === undefined ? 0 : (requests * serviceTimeMs(service)) / 1000;
@@ -213,7 +217,7 @@
 	}
 
 	/** Every attempt counts: a request that a full target refused is looked up again. */
-	private _recordTargetLookup(request: Journey, context: ChoiceContext, chosen: ChosenTarget | undefined): void {
+	private _recordTargetLookup(request: RequestContext, context: ChoiceContext, chosen: ChosenTarget | undefined): void {
 		const { shares, position, reachableRegions, now } = context;
 		const region = regionAtPosition(shares, position);
 		if (region !== undefined && reachableRegions.has(region)) {
@@ -221,9 +225,9 @@
 		}
 	}
 
-	private _recordChoice(request: Journey, chosen: ChosenTarget, now: Millis): void {
+	private _recordChoice(request: RequestContext, chosen: ChosenTarget, now: Millis): void {
 		if (chosen.known.coldUntil > now) {
-			chosen.state.takeColdToken(this._coldRate(chosen), now);
+			chosen.state.tryTakeColdToken(this._coldRate(chosen), now);
 		}
 		if (isFirstAttempt(request)) {
 			this._spill.recordRequest();
@@ -235,7 +239,7 @@
 
 	/** Returns an unused target that needs its first request; only for repeatable requests that the shares keep in this region. */
 	private _unusedTarget(
-		{ route, service }: Journey,
+		{ route, service }: RequestContext,
 		candidates: readonly Candidate[],
 		{ shares, position, now }: ChoiceContext
 	): ChosenTarget | undefined {
@@ -261,7 +265,7 @@
 	/** Requests per second that this instance may send to a cold target. */
 	private _coldRate({ known }: Candidate): number {
 		const perSecond = this._view.routes?.service(known.record.service)?.coldPerSecond ?? 0;
-		return COLD_RATE_FRACTION * perSecond * this._paceShare.of(known.record);
+		return COLD_RATE_FRACTION * perSecond * this._paceShare.fractionFor(known.record);
 	}
 }
 
@@ -271,10 +275,10 @@
 }
 
 /** Whether no target was chosen for the request before; a choice that failed because a permit was denied counts. */
-function isFirstAttempt({ attempts, permitsDenied }: Journey): boolean {
+function isFirstAttempt({ attempts, permitsDenied }: RequestContext): boolean {
 	return attempts.length === 0 && permitsDenied === 0;
 }
 
-function mayAskForPermit({ permitsDenied }: Journey): boolean {
+function mayAskForPermit({ permitsDenied }: RequestContext): boolean {
 	return permitsDenied < MAX_DENIED_PERMITS;
 }
--- a/src/plugins/forwarding/node/quarantineGuard.ts
+++ b/src/plugins/forwarding/node/quarantineGuard.ts
@@ -10,24 +10,24 @@
 import { systemClock } from '../../../base/clock.js';
 import { Disposable } from '../../../base/disposable.js';
 import type { IFleetSession } from '../../fleet/common/fleetSession.js';
-import { KnownQuarantine } from '../../fleet/common/knownQuarantine.js';
-import { LossOrder } from '../../fleet/common/lossOrder.js';
-import { QuarantinePhase, type SeenRun, told } from '../../fleet/common/quarantineTypes.js';
+import { QuarantineView } from '../../fleet/common/quarantineView.js';
+import { IndependentLossFilter } from '../../fleet/common/independentLossFilter.js';
+import { QuarantinePhase, type ObservedLostRun, toReportedRun } from '../../fleet/common/quarantineTypes.js';
 import { RequestQuarantine } from '../../fleet/common/requestQuarantine.js';
 import type { AttemptOutcome } from '../common/attempt.js';
-import { isFailure, type Journey } from './journey.js';
-import type { LostRunWatch } from './lostRunWatch.js';
+import { isServerError, type RequestContext } from './requestContext.js';
+import type { LostRunDetector } from './lostRunDetector.js';
 import { identityOf, pathHashOf } from './requestDigest.js';
 
 /** Looks up and updates the quarantine phase of requests at this instance. */
 export class QuarantineGuard extends Disposable {
 	private readonly _localQuarantine = new RequestQuarantine();
-	private readonly _localLossOrder = new LossOrder();
-	private readonly _localView = new KnownQuarantine();
+	private readonly _localLossOrder = new IndependentLossFilter();
+	private readonly _localView = new QuarantineView();
 
 	constructor(
 		private readonly _session: IFleetSession,
-		lostRunDetector: LostRunWatch
+		lostRunDetector: LostRunDetector
 	) {
 		super();
 		this._register(lostRunDetector.onDidLose(run => this._onRunLost(run)));
@@ -35,13 +35,13 @@
 	}
 
 	/** The quarantine phase of a request; computes no digest unless the path hash matches a suspected or quarantined request. */
-	phase(context: Journey): QuarantinePhase {
+	phase(context: RequestContext): QuarantinePhase {
 		const { quarantine } = this._session.view;
 		if (quarantine.isEmpty && this._localView.isEmpty) {
 			return QuarantinePhase.Clear;
 		}
 		context.pathHash ??= pathHashOf(context.exchange);
-		if (!quarantine.mayKnow(context.pathHash) && !this._localView.mayKnow(context.pathHash)) {
+		if (!quarantine.mayContain(context.pathHash) && !this._localView.mayContain(context.pathHash)) {
 			return QuarantinePhase.Clear;
 		}
 		const { digest } = identityOf(context);
@@ -52,11 +52,11 @@
 	 * Clears a request that a target answered without a server error, and reports that to control. This includes requests not suspected
 	 * yet that lost a target: when several data halls fail in a row, the same requests lose a target each time.
 	 */
-	noteOutcome(context: Journey, outcome: AttemptOutcome): void {
-		if (outcome.type !== 'answer' || isFailure(outcome)) {
+	recordOutcome(context: RequestContext, outcome: AttemptOutcome): void {
+		if (outcome.type !== 'answer' || isServerError(outcome)) {
 			return;
 		}
-		if (!context.hasEndedTarget && this.phase(context) === QuarantinePhase.Clear) {
+		if (!context.wasLostWithTarget && this.phase(context) === QuarantinePhase.Clear) {
 			return;
 		}
 		const { digest } = identityOf(context);
@@ -64,10 +64,13 @@
 		this._session.reportAnswer(digest);
 	}
 
-	private _onRunLost(run: SeenRun): void {
+	private _onRunLost(run: ObservedLostRun): void {
 		this._session.reportRun(run);
 		const now = systemClock.now();
-		if (this._localLossOrder.admits(told(run, now), now) && this._localQuarantine.note(run)) {
+		if (
+			this._localLossOrder.recordIfIndependent(toReportedRun(run, now), now) &&
+			this._localQuarantine.recordRun(run)
+		) {
 			this._refreshLocalView();
 		}
 	}
@@ -79,6 +82,6 @@
 	}
 
 	private _refreshLocalView(): void {
-		this._localView.apply({ revision: this._localView.revision + 1, records: this._localQuarantine.known });
+		this._localView.apply({ revision: this._localView.revision + 1, records: this._localQuarantine.activeRecords });
 	}
 }
--- a/src/plugins/forwarding/node/requestBody.ts
+++ b/src/plugins/forwarding/node/requestBody.ts
@@ -61,12 +61,12 @@
 	}
 
 	/** Length in bytes of a body that is buffered whole; undefined for a streamed one. */
-	get heldLength(): number | undefined {
+	get bufferedLength(): number | undefined {
 		return this._remainingBody ? undefined : this._buffered.length;
 	}
 
 	/** The buffered bytes: the whole body, or the beginning of a streamed one. */
-	get beginning(): Buffer {
+	get prefix(): Buffer {
 		return this._buffered;
 	}
 
--- a/src/plugins/forwarding/node/journey.ts
+++ b/src/plugins/forwarding/node/requestContext.ts
@@ -11,7 +11,7 @@
 import type { RequestIdentity } from '../../fleet/common/requestIdentity.js';
 import type { Route, Team } from '../../routes/common/routeTable.js';
 import type { DeniedAccess } from '../../routes/common/teamAccess.js';
-import type { AttemptOutcome, TargetAnswer } from '../common/attempt.js';
+import type { AttemptOutcome, TargetResponse } from '../common/attempt.js';
 import type { AttemptTrace } from '../common/requestTrace.js';
 import type { CallerExchange, LocalResponse } from './callerExchange.js';
 import type { RequestBody } from './requestBody.js';
@@ -24,7 +24,7 @@
 const STATUS_UNAVAILABLE = 503;
 
 /** One request while it is forwarded. */
-export interface Journey {
+export interface RequestContext {
 	readonly exchange: CallerExchange;
 	readonly route: Route;
 	/** Regions in which the request may be served; empty for any. */
@@ -47,7 +47,7 @@
 	/** Permits within rate limits of targets that were requested and denied. */
 	permitsDenied: number;
 	/** The latest server error of a target after which the request was retried. */
-	errorResponse?: TargetAnswer;
+	errorResponse?: TargetResponse;
 	readonly attempts: AttemptTrace[];
 	/** Quarantine phase of the request when its current target was selected. */
 	phase: QuarantinePhase;
@@ -58,11 +58,11 @@
 	/** Target of the previous attempt, where its connection was lost. */
 	lostTargetId?: string;
 	/** Whether a target stopped while running the request. */
-	hasEndedTarget?: boolean;
+	wasLostWithTarget?: boolean;
 }
 
 /** Whether the response has a 5xx status. */
-export function isFailure(response: TargetAnswer): boolean {
+export function isServerError(response: TargetResponse): boolean {
 	return response.status >= MIN_SERVER_ERROR_STATUS;
 }
 
--- a/src/plugins/forwarding/node/requestRecorder.ts
+++ b/src/plugins/forwarding/node/requestRecorder.ts
@@ -9,7 +9,7 @@
 import { ILogService } from '../../../kernel/node/logService.js';
 import type { IMetricsService } from '../../../kernel/node/metricsService.js';
 import type { Route } from '../../routes/common/routeTable.js';
-import { type AttemptTrace, TraceSampler } from '../common/requestTrace.js';
+import { type AttemptTrace, LogSampler } from '../common/requestTrace.js';
 import type { CallerExchange } from './callerExchange.js';
 
 const LATENCY_BUCKETS_SECONDS = [0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4];
@@ -42,7 +42,7 @@
 
 /** Updates the request metrics, and writes a log line for each request that was not routine and for a sample of the others. */
 export class RequestRecorder {
-	private readonly _sampler = new TraceSampler();
+	private readonly _sampler = new LogSampler();
 	private readonly _requests: Counter<'service' | 'end'>;
 	private readonly _attempts: Counter<'outcome'>;
 	private readonly _latencySeconds: Histogram<'service'>;
@@ -92,7 +92,7 @@
 		if (!this._sampler.admits(isRoutine, now)) {
 			return;
 		}
-		this._suppressedLines.inc(this._sampler.takeLeftOut());
+		this._suppressedLines.inc(this._sampler.takeDroppedCount());
 		this._log.info('request', {
 			task: 'forwarding',
 			requestId: exchange.requestId,
--- a/src/plugins/forwarding/node/retryPolicy.ts
+++ b/src/plugins/forwarding/node/retryPolicy.ts
@@ -9,20 +9,20 @@
 import type { FleetView } from '../../fleet/common/fleetView.js';
 import { QuarantinePhase } from '../../fleet/common/quarantineTypes.js';
 import { RepeatRule } from '../../routes/common/routeTable.js';
-import { type AttemptOutcome, type NotRun, NotRunCause, type TargetAnswer } from '../common/attempt.js';
-import { CallerReturns } from '../common/placement/callerReturns.js';
-import { RetryAllowance } from '../common/retryAllowance.js';
+import { type AttemptOutcome, type NotRun, NotRunCause, type TargetResponse } from '../common/attempt.js';
+import { RetryAfterScheduler } from '../common/placement/retryAfterScheduler.js';
+import { ServiceRetryBudget } from '../common/serviceRetryBudget.js';
 import type { IServiceBounds } from '../common/serviceBounds.js';
-import { mayTryAgain } from '../common/targets/targetRefusal.js';
+import { mayRetrySameTarget } from '../common/targets/targetRefusal.js';
 import type { LocalResponse } from './callerExchange.js';
-import { isFailure, type Journey, unavailableResponse } from './journey.js';
+import { isServerError, type RequestContext, unavailableResponse } from './requestContext.js';
 import type { TargetSelector } from './placement/targetSelector.js';
 import type { QuarantineGuard } from './quarantineGuard.js';
 
 /** Causes for which nothing was sent to the target; selecting another one does not count as a retry. */
 const NOT_SENT_CAUSES: ReadonlySet<NotRunCause> = new Set([
-	NotRunCause.AtRest,
-	NotRunCause.AtLimit,
+	NotRunCause.BackingOff,
+	NotRunCause.RateLimited,
 	NotRunCause.ConnectionsInUse
 ]);
 /** Failed connection attempts after which a request is refused. */
@@ -34,8 +34,8 @@
 
 /** Decides what follows each attempt. */
 export class RetryPolicy {
-	private readonly _retryBudgets = new Map<string, RetryAllowance>();
-	private readonly _retryAfterSchedulers = new Map<string, CallerReturns>();
+	private readonly _retryBudgets = new Map<string, ServiceRetryBudget>();
+	private readonly _retryAfterSchedulers = new Map<string, RetryAfterScheduler>();
 
 	constructor(
 		private readonly _view: FleetView,
@@ -45,7 +45,7 @@
 	) {}
 
 	/** What follows an attempt: another attempt (`'again'`), forwarding the target's response (`'pass'`), or a local response. */
-	decide(context: Journey, outcome: AttemptOutcome): LocalResponse | 'again' | 'pass' {
+	decide(context: RequestContext, outcome: AttemptOutcome): LocalResponse | 'again' | 'pass' {
 		switch (outcome.type) {
 			case 'answer':
 				if (this._mayRetryResponse(context, outcome)) {
@@ -64,7 +64,7 @@
 		}
 	}
 
-	private _decideAfterBroken(context: Journey): LocalResponse | 'again' {
+	private _decideAfterBroken(context: RequestContext): LocalResponse | 'again' {
 		context.possibleRuns++;
 		// A request that several targets were lost with would likely take down the next one too.
 		const isSuspected = this._quarantine.phase(context) !== QuarantinePhase.Clear;
@@ -75,15 +75,15 @@
 	}
 
 	/** Whether a target's error response may be discarded and the request sent to another target; takes a retry from the budget if so. */
-	private _mayRetryResponse(context: Journey, response: TargetAnswer): boolean {
-		if (!isFailure(response) || response.rest || context.route.repeatRule === RepeatRule.AtMostOnce) {
+	private _mayRetryResponse(context: RequestContext, response: TargetResponse): boolean {
+		if (!isServerError(response) || response.remainingBody || context.route.repeatRule === RepeatRule.AtMostOnce) {
 			return false;
 		}
 		context.possibleRuns++;
 		return this._acquireRetry(context);
 	}
 
-	private _decideAfterNotRun(context: Journey, outcome: NotRun): LocalResponse | 'again' {
+	private _decideAfterNotRun(context: RequestContext, outcome: NotRun): LocalResponse | 'again' {
 		if (NOT_SENT_CAUSES.has(outcome.cause)) {
 			return 'again';
 		}
@@ -95,7 +95,7 @@
 		}
 		context.refusals++;
 		const { target } = context.attempts.at(-1)!;
-		if (mayTryAgain(outcome.cause, target, context.attempts)) {
+		if (mayRetrySameTarget(outcome.cause, target, context.attempts)) {
 			context.tried.delete(target);
 		}
 		return this._acquireRetry(context) ? 'again' : this.noTargetResponse(context);
@@ -105,42 +105,42 @@
 	 * The response where no target can take the request now. Where all targets are in backoff or at their rate limits, Retry-After names when
 	 * capacity returns, at most the caller's deadline; callers are spread out where capacity returns one permit at a time.
 	 */
-	noTargetResponse(context: Journey): LocalResponse {
+	noTargetResponse(context: RequestContext): LocalResponse {
 		const now = systemClock.now();
-		const capacity = this._selector.roomReturns(context, now);
+		const capacity = this._selector.nextCapacity(context, now);
 		if (capacity === undefined) {
 			return unavailableResponse(RefusalReason.NoCapacity, SHORT_RETRY_AFTER_MS);
 		}
 		const retryAfterMs = this._retryAfterSchedulerOf(context.service).after(capacity, context.deadline) - now;
-		const isAtLimit = capacity.cause === NotRunCause.AtLimit;
+		const isAtLimit = capacity.cause === NotRunCause.RateLimited;
 		const reason = isAtLimit ? RefusalReason.TargetsAtLimit : RefusalReason.TargetsAtRest;
 		return unavailableResponse(reason, Math.max(SHORT_RETRY_AFTER_MS, retryAfterMs));
 	}
 
 	/** Takes one retry from the budget; false where the request may not be retried or the budget is used up. */
-	private _acquireRetry(context: Journey): boolean {
+	private _acquireRetry(context: RequestContext): boolean {
 		return (
 			context.possibleRuns < context.route.attempts &&
 			context.refusals < MAX_REFUSALS &&
 			context.body.canBeSent &&
-			this.retryBudgetOf(context.service).take(this._view.entryCount, systemClock.now())
+			this.retryBudgetOf(context.service).tryTake(this._view.entryCount, systemClock.now())
 		);
 	}
 
-	private _retryAfterSchedulerOf(service: string): CallerReturns {
+	private _retryAfterSchedulerOf(service: string): RetryAfterScheduler {
 		let scheduler = this._retryAfterSchedulers.get(service);
 		if (!scheduler) {
-			scheduler = new CallerReturns();
+			scheduler = new RetryAfterScheduler();
 			this._retryAfterSchedulers.set(service, scheduler);
 		}
 		return scheduler;
 	}
 
 	/** The retry budget of a service at this instance. */
-	retryBudgetOf(service: string): RetryAllowance {
+	retryBudgetOf(service: string): ServiceRetryBudget {
 		let budget = this._retryBudgets.get(service);
 		if (!budget) {
-			budget = new RetryAllowance(this._bounds.retries);
+			budget = new ServiceRetryBudget(this._bounds.retries);
 			this._retryBudgets.set(service, budget);
 		}
 		return budget;
--- a/src/plugins/forwarding/node/targetExchange.ts
+++ b/src/plugins/forwarding/node/targetExchange.ts
@@ -7,10 +7,10 @@
 import { type ClientRequest, type IncomingMessage, request as httpRequest } from 'node:http';
 import type { Socket } from 'node:net';
 import { type Millis, systemClock } from '../../../base/clock.js';
-import { type AttemptOutcome, BrokenCause, NotRunCause, type RawHeaders } from '../common/attempt.js';
+import { type AttemptOutcome, ResponseFailureCause, NotRunCause, type RawHeaders } from '../common/attempt.js';
 import type { IHeaderNames } from '../common/headerNames.js';
 import { refusalCause } from '../common/targets/targetRefusal.js';
-import { readTargetWord, type TargetWord } from '../common/targets/targetWord.js';
+import { parseTargetReport, type TargetReport } from '../common/targets/targetReport.js';
 import type { RequestBody } from './requestBody.js';
 import type { TargetAgent } from './targets/targetAgent.js';
 
@@ -23,7 +23,7 @@
 const PARSER_ERROR_PREFIX = 'HPE_';
 
 /** Why an attempt is cancelled before its request is written. */
-export type CancelCause = NotRunCause.AtRest | NotRunCause.AtLimit;
+export type CancelCause = NotRunCause.BackingOff | NotRunCause.RateLimited;
 
 /** The request to send and its target. */
 export interface TargetExchangeOptions {
@@ -42,7 +42,7 @@
 	 * Called with the state that the target reports in its response headers, as soon as they arrive.
 	 * `writtenAt` is when the request may have been written, on the monotonic clock.
 	 */
-	readonly onTargetReport: (report: TargetWord, writtenAt: Millis) => void;
+	readonly onTargetReport: (report: TargetReport, writtenAt: Millis) => void;
 }
 
 function mayHaveBody(status: number): boolean {
@@ -140,7 +140,7 @@
 
 	private _onConnectionLost(detail: string, code?: string): void {
 		if (this._reusedConnection && !this._isSettled && !this.responseHeaders) {
-			this._agent.noteLoss(
+			this._agent.recordLoss(
 				this._reusedConnection.socket,
 				this._options.targetId,
 				systemClock.now() - this._reusedConnection.sentAt
@@ -153,26 +153,26 @@
 		}
 	}
 
-	private _brokenCause(code: string | undefined): BrokenCause {
+	private _brokenCause(code: string | undefined): ResponseFailureCause {
 		if (code?.startsWith(PARSER_ERROR_PREFIX)) {
-			return BrokenCause.Garbled;
+			return ResponseFailureCause.MalformedResponse;
 		}
-		return this.responseHeaders ? BrokenCause.BrokenOff : BrokenCause.ConnectionLost;
+		return this.responseHeaders ? ResponseFailureCause.ResponseTruncated : ResponseFailureCause.ConnectionLost;
 	}
 
 	private _onResponse(response: IncomingMessage): void {
-		response.on('error', () => this._settle({ type: 'broken', cause: BrokenCause.BrokenOff }));
+		response.on('error', () => this._settle({ type: 'broken', cause: ResponseFailureCause.ResponseTruncated }));
 		const { headers } = response;
 		const status = response.statusCode!;
 		const echoedId = headers[this._headerNames.requestId];
 		const isMismatched = echoedId === undefined ? isSuccess(status) : echoedId !== this._options.requestId;
 		if (isMismatched) {
-			this._settle({ type: 'broken', cause: BrokenCause.OtherAnswer });
+			this._settle({ type: 'broken', cause: ResponseFailureCause.ResponseMismatch });
 			this._request.destroy();
 			return;
 		}
 		this.responseHeaders = headers;
-		const report = readTargetWord(response, this._headerNames, Date.now());
+		const report = parseTargetReport(response, this._headerNames, Date.now());
 		// A 421 comes from another target at this address, so its headers describe that target.
 		if (status !== STATUS_MISDIRECTED_REQUEST) {
 			this._options.onTargetReport(report, this._writtenAt ?? Number.NEGATIVE_INFINITY);
@@ -207,12 +207,12 @@
 				response.removeListener('data', onData);
 				response.removeListener('end', onEnd);
 				const body = Buffer.concat(chunks);
-				this._settle({ type: 'answer', status, rawHeaders, endsWithConnection, body, rest: response });
+				this._settle({ type: 'answer', status, rawHeaders, endsWithConnection, body, remainingBody: response });
 			}
 		};
 		const onEnd = (): void => {
 			if (!response.complete) {
-				this._settle({ type: 'broken', cause: BrokenCause.BrokenOff });
+				this._settle({ type: 'broken', cause: ResponseFailureCause.ResponseTruncated });
 				return;
 			}
 			const body = Buffer.concat(chunks);
@@ -223,7 +223,7 @@
 		response.on('end', onEnd);
 	}
 
-	private _notRunCause(status: number, { load }: TargetWord): NotRunCause {
+	private _notRunCause(status: number, { load }: TargetReport): NotRunCause {
 		switch (status) {
 			case STATUS_MISDIRECTED_REQUEST:
 				return NotRunCause.OtherTarget;
--- a/src/plugins/forwarding/node/targetHeaders.ts
+++ b/src/plugins/forwarding/node/targetHeaders.ts
@@ -6,8 +6,8 @@
 
 import type { Millis } from '../../../base/clock.js';
 import type { IHeaderNames } from '../common/headerNames.js';
-import { passedHeaders } from '../common/hopHeaders.js';
-import type { Journey } from './journey.js';
+import { endToEndHeaders } from '../common/hopByHopHeaders.js';
+import type { RequestContext } from './requestContext.js';
 
 /** Builds the headers; those that this system sets itself replace the caller's. */
 export class TargetHeaders {
@@ -19,16 +19,16 @@
 	}
 
 	/** The raw headers for one attempt, names and values alternating. */
-	headersFor(context: Journey, targetId: string, now: Millis): string[] {
+	headersFor(context: RequestContext, targetId: string, now: Millis): string[] {
 		const { request } = context.exchange;
-		const headers = passedHeaders(request.rawHeaders, this._replacedHeaders);
+		const headers = endToEndHeaders(request.rawHeaders, this._replacedHeaders);
 		const remainingMs = Math.max(1, Math.floor(context.deadline - now));
 		headers.push(this._headerNames.remainingMs, String(remainingMs), this._headerNames.expectedTarget, targetId);
 		if (context.team) {
 			headers.push(this._headerNames.team, context.team.name);
 		}
 		if (request.headers['transfer-encoding'] !== undefined) {
-			headers.push(...bodyFramingHeaders(context.body.heldLength));
+			headers.push(...bodyFramingHeaders(context.body.bufferedLength));
 		}
 		return headers;
 	}
--- a/src/plugins/forwarding/node/targets/restWatch.ts
+++ b/src/plugins/forwarding/node/targets/backoffMonitor.ts
@@ -10,9 +10,9 @@
 import type { IMetricsService } from '../../../../kernel/node/metricsService.js';
 import type { TargetRecord } from '../../../fleet/common/fleetTypes.js';
 import type { AttemptOutcome } from '../../common/attempt.js';
-import { TraceSampler } from '../../common/requestTrace.js';
+import { LogSampler } from '../../common/requestTrace.js';
 import type { TargetState } from '../../common/targets/targetState.js';
-import type { TargetWord } from '../../common/targets/targetWord.js';
+import type { TargetReport } from '../../common/targets/targetReport.js';
 
 /** One request that was sent to a target. */
 export interface SentRequest {
@@ -24,8 +24,8 @@
 }
 
 /** Logs and counts backoff and shutdown announcements of targets. */
-export class RestWatch {
-	private readonly _sampler = new TraceSampler();
+export class BackoffMonitor {
+	private readonly _sampler = new LogSampler();
 	private readonly _backoffRequests: Counter;
 	private readonly _requestsDuringBackoff: Counter;
 
@@ -64,17 +64,17 @@
 	 * Records the report of a response. Must be called before the report is applied to the state of the target.
 	 * @param inFlight requests of this instance that are in progress at the target
 	 */
-	noteWord(
+	recordReport(
 		{ id, service }: TargetRecord,
-		{ rest: backoff }: TargetState,
-		report: TargetWord,
+		{ backoff }: TargetState,
+		report: TargetReport,
 		inFlight: number,
 		now: Millis
 	): void {
-		if (report.restMs > 0) {
+		if (report.backoffMs > 0) {
 			this._logSampled(
 				'target requested backoff',
-				{ target: id, service, restMs: report.restMs, underWay: inFlight },
+				{ target: id, service, restMs: report.backoffMs, underWay: inFlight },
 				now
 			);
 			this._backoffRequests.inc({ service, word: 'rest' });
@@ -86,7 +86,7 @@
 	}
 
 	/** Logs the end of the target's backoff, if it has ended; called before a request is sent to the target. */
-	noteSend({ id, service }: TargetRecord, { rest: backoff }: TargetState, now: Millis): void {
+	recordSendStart({ id, service }: TargetRecord, { backoff }: TargetState, now: Millis): void {
 		const backoffMs = backoff.takeEndedDurationMs(now);
 		if (backoffMs !== undefined) {
 			this._logSampled('target backoff ended', { target: id, service, restedMs: Math.round(backoffMs) }, now);
@@ -94,12 +94,8 @@
 	}
 
 	/** Counts a request that was sent during the target's backoff; called when it has ended. */
-	noteSent(
-		{ service }: TargetRecord,
-		{ rest: backoff }: TargetState,
-		{ chosenAt, writtenAt, outcome }: SentRequest
-	): void {
-		if (writtenAt === undefined || !backoff.isAsked(writtenAt) || backoff.activeSince >= writtenAt) {
+	recordSent({ service }: TargetRecord, { backoff }: TargetState, { chosenAt, writtenAt, outcome }: SentRequest): void {
+		if (writtenAt === undefined || !backoff.isActive(writtenAt) || backoff.activeSince >= writtenAt) {
 			return;
 		}
 		const cause = outcome.type === 'not-run' ? outcome.cause : outcome.type;
--- a/src/plugins/forwarding/node/targets/limitWatch.ts
+++ b/src/plugins/forwarding/node/targets/limitMonitor.ts
@@ -14,8 +14,8 @@
 import { Disposable } from '../../../../base/disposable.js';
 import type { ITargetLimits, TargetLimitEvent } from '../../../limits/common/targetLimits.js';
 import type { TargetRecord } from '../../../fleet/common/fleetTypes.js';
-import { TraceSampler } from '../../common/requestTrace.js';
-import type { SentRequest } from './restWatch.js';
+import { LogSampler } from '../../common/requestTrace.js';
+import type { SentRequest } from './backoffMonitor.js';
 
 /** Interval of the log lines on the requests sent to one target. */
 const LOG_INTERVAL_MS: Millis = 2000;
@@ -31,8 +31,8 @@
 }
 
 /** Logs and counts changes of target rate limits, and the requests sent to the targets that have one. */
-export class LimitWatch extends Disposable {
-	private readonly _sampler = new TraceSampler();
+export class LimitMonitor extends Disposable {
+	private readonly _sampler = new LogSampler();
 	private readonly _sentCounter: Counter;
 	private readonly _sentCounts = new Map<string, SentCount>();
 
@@ -85,7 +85,7 @@
 	 * Counts a request that was sent to a rate-limited target, when it has ended.
 	 * @param isFirstTry whether it was the first attempt of its request
 	 */
-	noteSent(record: TargetRecord, { chosenAt, writtenAt }: SentRequest, isFirstTry: boolean): void {
+	recordSent(record: TargetRecord, { chosenAt, writtenAt }: SentRequest, isFirstTry: boolean): void {
 		const now = systemClock.now();
 		const perSecond = this._limits.perSecond(record, now);
 		if (writtenAt === undefined || perSecond === undefined) {
--- a/src/plugins/forwarding/node/targets/outcomeNotes.ts
+++ b/src/plugins/forwarding/node/targets/outcomeTracker.ts
@@ -5,19 +5,19 @@
 /** Updates demand and target state from the outcomes of the requests that this instance forwards. */
 
 import type { Millis } from '../../../../base/clock.js';
-import { type AttemptOutcome, NotRunCause, type TargetAnswer } from '../../common/attempt.js';
+import { type AttemptOutcome, NotRunCause, type TargetResponse } from '../../common/attempt.js';
 import { DemandMeter } from '../../common/placement/demandMeter.js';
 import type { TargetState } from '../../common/targets/targetState.js';
-import type { LoadReport } from '../../common/targets/targetWord.js';
-import { isFailure, type Journey } from '../journey.js';
+import type { LoadReport } from '../../common/targets/targetReport.js';
+import { isServerError, type RequestContext } from '../requestContext.js';
 
 /** Tracks the demand for services, and applies outcomes of attempts to target states. */
-export class OutcomeNotes {
+export class OutcomeTracker {
 	private readonly _demand = new Map<string, DemandMeter>();
 
 	/** Records that a caller's request for a service was received. */
-	noteRequest(service: string, now: Millis): void {
-		this._demandOf(service, now).noteRequest(now);
+	recordRequest(service: string, now: Millis): void {
+		this._demandOf(service, now).recordRequest(now);
 	}
 
 	private _demandOf(service: string, now: Millis): DemandMeter {
@@ -36,12 +36,12 @@
 	}
 
 	/** Typical processing time of a request of a service, without queueing. */
-	typicalMs(service: string, now: Millis): Millis {
-		return this._demandOf(service, now).typicalMs;
+	serviceTimeMs(service: string, now: Millis): Millis {
+		return this._demandOf(service, now).serviceTimeMs;
 	}
 
 	/** Applies the load report of a response, if there is one. */
-	noteLoad(state: TargetState, load: LoadReport | undefined, now: Millis): void {
+	recordLoad(state: TargetState, load: LoadReport | undefined, now: Millis): void {
 		if (load) {
 			state.applyLoadReport(load, now);
 		}
@@ -51,7 +51,13 @@
 	 * Records the outcome of one attempt.
 	 * @param durationMs time from the selection of the target to the outcome
 	 */
-	noteOutcome(journey: Journey, state: TargetState, outcome: AttemptOutcome, durationMs: Millis, now: Millis): void {
+	recordOutcome(
+		journey: RequestContext,
+		state: TargetState,
+		outcome: AttemptOutcome,
+		durationMs: Millis,
+		now: Millis
+	): void {
 		recordContact(state, outcome, now);
 		switch (outcome.type) {
 			case 'answer':
@@ -64,8 +70,8 @@
 				state.health.recordFailure(now);
 				break;
 			case 'abandoned':
-				if (!journey.exchange.hasLeft) {
-					state.health.recordTimeout(durationMs, this._demandOf(journey.service, now).meanMs, now);
+				if (!journey.exchange.isDisconnected) {
+					state.health.recordTimeout(durationMs, this._demandOf(journey.service, now).meanLatencyMs, now);
 				}
 				break;
 		}
@@ -74,17 +80,17 @@
 	private _recordResponse(
 		service: string,
 		state: TargetState,
-		response: TargetAnswer,
+		response: TargetResponse,
 		durationMs: Millis,
 		now: Millis
 	): void {
-		if (isFailure(response)) {
+		if (isServerError(response)) {
 			state.health.recordFailure(now);
 			return;
 		}
 		const meter = this._demandOf(service, now);
-		state.health.recordResponse(durationMs, meter.meanMs, now);
-		meter.noteAnswer(durationMs);
+		state.health.recordResponse(durationMs, meter.meanLatencyMs, now);
+		meter.recordResponse(durationMs);
 	}
 }
 
@@ -106,7 +112,7 @@
 			state.isReplaced = true;
 			break;
 		case NotRunCause.NoConnection:
-			state.health.noteUnreachable(now);
+			state.health.recordUnreachable(now);
 			break;
 		case NotRunCause.Refused:
 			state.health.recordFailure(now);
--- a/src/plugins/forwarding/node/targets/targetAgent.ts
+++ b/src/plugins/forwarding/node/targets/targetAgent.ts
@@ -43,7 +43,7 @@
 	}
 
 	/** Whether there is an idle connection to a target, or a further one may be opened. */
-	hasRoom(host: string, port: number, maxConnections: number): boolean {
+	hasAvailableConnection(host: string, port: number, maxConnections: number): boolean {
 		const name = this.getName({ host, port });
 		const hasIdleConnection = (this.freeSockets[name]?.length ?? 0) > 0;
 		return hasIdleConnection || (this.sockets[name]?.length ?? 0) < maxConnections;
@@ -79,7 +79,7 @@
 	}
 
 	/** Records that a request on a reused connection got no response. */
-	noteLoss(stream: Duplex, targetId: string, timeToLossMs: Millis): void {
+	recordLoss(stream: Duplex, targetId: string, timeToLossMs: Millis): void {
 		const idleMs = this._pooled.get(stream)?.idleMs ?? 0;
 		if (this._idleTimeout.recordLoss(targetId, idleMs, timeToLossMs, systemClock.now())) {
 			this._closeAllIdle();
@@ -87,7 +87,7 @@
 	}
 
 	/** Closes the idle connections to an address at which another process listens now. */
-	closeRestingTo(host: string, port: number): void {
+	closeIdleConnections(host: string, port: number): void {
 		this.freeSockets[this.getName({ host, port })]?.forEach(socket => socket.destroy());
 	}
 
--- a/src/plugins/forwarding/node/targets/targetProbe.ts
+++ b/src/plugins/forwarding/node/targets/targetProbe.ts
@@ -21,7 +21,7 @@
 	 * Whether no process listens at a target's address any more.
 	 * @param address IPv4 address and port
 	 */
-	hasEnded(targetId: string, address: string): Promise<boolean> {
+	refusesConnections(targetId: string, address: string): Promise<boolean> {
 		let probe = this._pending.get(targetId);
 		if (!probe) {
 			probe = isRefused(address).finally(() => this._pending.delete(targetId));
--- a/src/plugins/forwarding/node/targets/targetStates.ts
+++ b/src/plugins/forwarding/node/targets/targetStates.ts
@@ -5,7 +5,7 @@
 /** States of all targets at this instance, and selection of the candidates for a request. */
 
 import { type Millis } from '../../../../base/clock.js';
-import type { FleetView, ITargetWitness, KnownTarget } from '../../../fleet/common/fleetView.js';
+import type { FleetView, ITargetReachability, KnownTarget } from '../../../fleet/common/fleetView.js';
 import type { ITargetRoom } from '../../../limits/common/targetLimits.js';
 import type { Candidate } from '../../common/placement/targetChoice.js';
 import { RegionLoad } from '../../common/placement/regionLoad.js';
@@ -17,13 +17,13 @@
 export interface Candidates {
 	readonly candidates: readonly Candidate[];
 	/** Targets that can't be used now because they asked for backoff or have reached their rate limit. */
-	readonly resting: readonly Candidate[];
+	readonly deferred: readonly Candidate[];
 	/** Regions with at least one target, tried or not, that is neither silent nor unreachable. */
-	readonly standing: ReadonlySet<string>;
+	readonly reachableRegions: ReadonlySet<string>;
 }
 
 /** Target states by id. States of targets that have left the fleet view are removed. */
-export class TargetStates implements ITargetWitness {
+export class TargetStates implements ITargetReachability {
 	private readonly _states = new Map<string, TargetState>();
 	private readonly _regionLoads = new Map<string, RegionLoad>();
 	private _sweptAt: Millis = 0;
@@ -32,7 +32,7 @@
 		private readonly _view: FleetView,
 		private readonly _room: ITargetRoom
 	) {
-		_view.setWitness(this);
+		_view.setReachability(this);
 	}
 
 	answeredAt(id: string): Millis | undefined {
@@ -78,25 +78,25 @@
 				continue;
 			}
 			const state = this.stateOf(known);
-			if (state.isReplaced || state.rest.isLeaving) {
+			if (state.isReplaced || state.backoff.isLeaving) {
 				continue;
 			}
 			if (!known.isSilent && !state.isUnreachable(now)) {
 				reachableRegions.add(known.region);
 			}
 			if (!tried.has(known.record.id)) {
-				const isAvailable = !state.rest.isAsked(now) && this._room.isOpen(known.record, mayRequestPermit, now);
+				const isAvailable = !state.backoff.isActive(now) && this._room.isOpen(known.record, mayRequestPermit, now);
 				(isAvailable ? candidates : deferred).push({ known, state });
 			}
 		}
-		return { candidates, resting: deferred, standing: reachableRegions };
+		return { candidates, deferred, reachableRegions };
 	}
 
 	/** Number of targets in the fleet view that are backed off now, by service. */
-	restingByService(now: Millis): ReadonlyMap<string, number> {
+	backedOffByService(now: Millis): ReadonlyMap<string, number> {
 		const counts = new Map<string, number>();
-		for (const [id, { rest: backoff }] of this._states) {
-			const service = backoff.isAsked(now) ? this._view.target(id)?.record.service : undefined;
+		for (const [id, { backoff }] of this._states) {
+			const service = backoff.isActive(now) ? this._view.target(id)?.record.service : undefined;
 			if (service !== undefined) {
 				counts.set(service, (counts.get(service) ?? 0) + 1);
 			}
@@ -120,7 +120,7 @@
 		}
 		this._sweptAt = now;
 		for (const [id, state] of this._states) {
-			if (!this._view.target(id) && state.inFlight === 0 && !state.rest.mustBeRetained(now)) {
+			if (!this._view.target(id) && state.inFlight === 0 && !state.backoff.mustBeRetained(now)) {
 				this._states.delete(id);
 			}
 		}
--- a/src/plugins/forwarding/test/choice.test.ts
+++ b/src/plugins/forwarding/test/choice.test.ts
@@ -9,11 +9,11 @@
 import { DemandMeter } from '../common/placement/demandMeter.js';
 import { planShares, type RegionShares } from '../common/placement/regionShares.js';
 import { SharePacer } from '../common/placement/sharePacer.js';
-import { RetryAllowance } from '../common/retryAllowance.js';
+import { ServiceRetryBudget } from '../common/serviceRetryBudget.js';
 import { type Candidate, chooseTarget } from '../common/placement/targetChoice.js';
 import { RegionLoad } from '../common/placement/regionLoad.js';
 import { TargetState } from '../common/targets/targetState.js';
-import { parseLoadWord } from '../common/targets/targetWord.js';
+import { parseLoadReport } from '../common/targets/targetReport.js';
 import { TargetPhase } from '../../fleet/common/fleetTypes.js';
 
 const ALL_IN_R1: RegionShares = [
@@ -89,7 +89,7 @@
 	const [a, b] = [candidate('a'), candidate('b')];
 	a.known.isSilent = true;
 	assert.equal(choose([a, b], undefined), 'b');
-	b.state.health.noteUnreachable(990);
+	b.state.health.recordUnreachable(990);
 	assert.notEqual(choose([a, b], undefined), undefined);
 });
 
@@ -122,36 +122,36 @@
 });
 
 test('retries stay within this instance’s part of the budget', () => {
-	const allowance = new RetryAllowance({ ratio: 0.2, windowMs: 10000, slack: 9 });
+	const allowance = new ServiceRetryBudget({ ratio: 0.2, windowMs: 10000, slack: 9 });
 	for (let i = 0; i < 100; i++) {
-		allowance.noteFirstTry(50000 + i);
+		allowance.recordFirstAttempt(50000 + i);
 	}
 	let taken = 0;
-	while (allowance.take(9, 50200)) {
+	while (allowance.tryTake(9, 50200)) {
 		taken++;
 	}
 	assert.ok(taken > 5 && taken <= 21);
-	assert.equal(allowance.take(9, 58000), false);
-	assert.equal(allowance.take(9, 75000), false);
+	assert.equal(allowance.tryTake(9, 58000), false);
+	assert.equal(allowance.tryTake(9, 75000), false);
 });
 
 test('a cold target admits one request at once and further ones at its rate', () => {
 	const state = new TargetState('a', 0, 4, new RegionLoad());
-	assert.equal(state.takeColdToken(2, 10000), true);
-	assert.equal(state.takeColdToken(2, 10001), false);
-	assert.equal(state.takeColdToken(2, 10600), true);
-	assert.equal(state.takeColdToken(0, 99999), false);
+	assert.equal(state.tryTakeColdToken(2, 10000), true);
+	assert.equal(state.tryTakeColdToken(2, 10001), false);
+	assert.equal(state.tryTakeColdToken(2, 10600), true);
+	assert.equal(state.tryTakeColdToken(0, 99999), false);
 });
 
 test('malformed load reports are ignored', () => {
-	assert.deepEqual(parseLoadWord('3,0,8'), { running: 3, waiting: 0, slots: 8 });
+	assert.deepEqual(parseLoadReport('3,0,8'), { running: 3, waiting: 0, slots: 8 });
 	for (const text of [undefined, '', '3,0', 'a,b,c', '-1,0,8']) {
-		assert.equal(parseLoadWord(text), undefined);
+		assert.equal(parseLoadReport(text), undefined);
 	}
 });
 
 test('shares use only a part of the shift bound, and leave a region without targets at once', () => {
-	const pacer = new SharePacer({ mostMoved: 0.15, windowMs: 2000 });
+	const pacer = new SharePacer({ maxMovedFraction: 0.15, windowMs: 2000 });
 	const at = (here: number): RegionShares => [
 		{ region: 'r1', share: here },
 		{ region: 'r2', share: 1 - here }
@@ -180,7 +180,7 @@
 });
 
 test('a region exceeds its equal-demand share slowly, and gives up the excess at the full rate', () => {
-	const pacer = new SharePacer({ mostMoved: 0.2, windowMs: 2000 });
+	const pacer = new SharePacer({ maxMovedFraction: 0.2, windowMs: 2000 });
 	const slots = new Map([
 		['r1', 9],
 		['r2', 90]
@@ -202,8 +202,8 @@
 test('demand in slots is the request rate times the service time without queueing', () => {
 	const meter = new DemandMeter(0);
 	for (let i = 0; i < 1000; i++) {
-		meter.noteRequest(i * 10);
-		meter.noteAnswer(i % 2 === 0 ? 100 : 2000);
+		meter.recordRequest(i * 10);
+		meter.recordResponse(i % 2 === 0 ? 100 : 2000);
 	}
 	const slots = meter.slots(10000);
 	assert.ok(slots > 8 && slots < 20, `${slots}`);
--- a/src/plugins/forwarding/test/coldTargets.test.ts
+++ b/src/plugins/forwarding/test/coldTargets.test.ts
@@ -9,13 +9,13 @@
 import { describeEntry } from '../../../../test/fakes/describeEntry.js';
 import { TargetLimitTable } from '../../limits/common/targetLimitTable.js';
 import { PaceShare } from '../../fleet/common/paceShare.js';
-import { drawPacedSenders } from '../../fleet/common/pacedSenders.js';
+import { selectPacedSenders } from '../../fleet/common/pacedSenders.js';
 import { FleetView } from '../../fleet/common/fleetView.js';
 import { TargetPhase, type TargetRecord } from '../../fleet/common/fleetTypes.js';
 import type { SyncResponse } from '../../fleet/common/fleetWire.js';
 import { RepeatRule, type Route } from '../../routes/common/routeTable.js';
 import { TargetSelector } from '../node/placement/targetSelector.js';
-import type { Journey } from '../node/journey.js';
+import type { RequestContext } from '../node/requestContext.js';
 
 const COLD_START_MS = 3000;
 const COLD_PER_SECOND = 3;
@@ -75,13 +75,13 @@
 		view,
 		{ name, hall: 'h', region: 'r1' },
 		['r1'],
-		{ mostMoved: 0.15, windowMs: 2000 },
+		{ maxMovedFraction: 0.15, windowMs: 2000 },
 		share,
 		new TargetLimitTable(view, share)
 	);
 }
 
-function requestFor(object: number): Journey {
+function requestFor(object: number): RequestContext {
 	const exchange = { objectKey: `o${object}`, requestId: `request-${object}` };
 	return {
 		route: ROUTE,
@@ -90,7 +90,7 @@
 		exchange,
 		tried: new Set(),
 		attempts: []
-	} as unknown as Journey;
+	} as unknown as RequestContext;
 }
 
 /** Returns the number of requests that all selectors together send in one second, each trying every 50 ms. */
@@ -103,7 +103,7 @@
 }
 
 test('many instances of a region together keep to the rate limit of a cold target', () => {
-	const senders = drawPacedSenders(
+	const senders = selectPacedSenders(
 		'new',
 		'r',
 		ENTRIES.map(name => describeEntry({ name, region: 'r', isReady: true }))
@@ -131,8 +131,8 @@
 		describeEntry({ name: 'b', region: 'r1', isReady: false }),
 		describeEntry({ name: 'c', region: 'r2', isReady: true })
 	];
-	assert.deepEqual(drawPacedSenders('t', 'r1', entries), ['a']);
-	assert.deepEqual(drawPacedSenders('t', 'r3', entries), []);
+	assert.deepEqual(selectPacedSenders('t', 'r1', entries), ['a']);
+	assert.deepEqual(selectPacedSenders('t', 'r3', entries), []);
 	const many = ENTRIES.map(name => describeEntry({ name, region: 'r1', isReady: true }));
-	assert.deepEqual(drawPacedSenders('t', 'r1', many), drawPacedSenders('t', 'r1', [...many].reverse()));
+	assert.deepEqual(selectPacedSenders('t', 'r1', many), selectPacedSenders('t', 'r1', [...many].reverse()));
 });
--- a/src/plugins/forwarding/test/limitedRoom.test.ts
+++ b/src/plugins/forwarding/test/limitedRoom.test.ts
@@ -15,8 +15,8 @@
 import { TargetLimitTable } from '../../limits/common/targetLimitTable.js';
 import { RepeatRule, type Route } from '../../routes/common/routeTable.js';
 import { NotRunCause } from '../common/attempt.js';
-import { CallerReturns } from '../common/placement/callerReturns.js';
-import type { Journey } from '../node/journey.js';
+import { RetryAfterScheduler } from '../common/placement/retryAfterScheduler.js';
+import type { RequestContext } from '../node/requestContext.js';
 import { TargetSelector } from '../node/placement/targetSelector.js';
 
 const NOW = 5000;
@@ -70,13 +70,13 @@
 	);
 	const share = new PaceShare('e-0', () => 0);
 	const place = { name: 'e-0', hall: 'h', region: 'r' };
-	const shifts = { mostMoved: 0.15, windowMs: 2000 };
+	const shifts = { maxMovedFraction: 0.15, windowMs: 2000 };
 	return new TargetSelector(view, place, ['r'], shifts, share, new TargetLimitTable(view, share));
 }
 
-function requestWithDeniedPermits(permitsDenied: number): Journey {
+function requestWithDeniedPermits(permitsDenied: number): RequestContext {
 	return {
-		exchange: { objectKey: 'o', requestId: 'q', hasLeft: false },
+		exchange: { objectKey: 'o', requestId: 'q', isDisconnected: false },
 		route: ROUTE,
 		homeRegions: [],
 		service: 's',
@@ -84,21 +84,21 @@
 		refusals: 0,
 		permitsDenied,
 		attempts: []
-	} as unknown as Journey;
+	} as unknown as RequestContext;
 }
 
 test('after two denied permits a request asks for no more and the rate limit is reported', () => {
 	const selector = newSelector();
 	assert.ok(selector.choose(requestWithDeniedPermits(1), NOW));
 	assert.equal(selector.choose(requestWithDeniedPermits(2), NOW), undefined);
-	const capacity = selector.roomReturns(requestWithDeniedPermits(2), NOW);
-	assert.equal(capacity?.cause, NotRunCause.AtLimit);
+	const capacity = selector.nextCapacity(requestWithDeniedPermits(2), NOW);
+	assert.equal(capacity?.cause, NotRunCause.RateLimited);
 	// Six targets with two requests per second each, shared by the callers of three instances.
 	assert.equal(capacity.intervalMs, 250);
 });
 
 test('retries are spaced, and a caller whose deadline is before the next permit reserves none', () => {
-	const scheduler = new CallerReturns();
+	const scheduler = new RetryAfterScheduler();
 	const capacity = { at: 1000, intervalMs: 250 };
 	assert.deepEqual(
 		[3000, 3000, 3000, 1600, 3000].map(deadline => scheduler.after(capacity, deadline)),
