--- a/src/plugins/forwarding/test/linkPacer.test.ts
+++ b/src/plugins/forwarding/test/linkPacer.test.ts
@@ -9,8 +9,8 @@
 import { Readable, Writable } from 'node:stream';
 import { test } from 'node:test';
 import type { Route } from '../../routes/common/routeTable.js';
-import { LargeAnswerGate } from '../common/largeAnswerGate.js';
-import { heldBytes, LinkPacer, PACED_PIECE_BYTES } from '../common/linkPacer.js';
+import { LargeResponseLimiter } from '../common/largeResponseLimiter.js';
+import { maxBufferedBytes, LinkPacer, PACED_CHUNK_BYTES } from '../common/linkPacer.js';
 import { LinkScheduler } from '../node/linkScheduler.js';
 import { PacedBody } from '../node/pacedBody.js';
 
@@ -38,8 +38,8 @@
 	const pacer = new LinkPacer(2);
 	const bytes = 90000;
 	let now = 1000;
-	for (let sent = 0; sent < bytes; sent += PACED_PIECE_BYTES) {
-		const waitMs = pacer.reserve(PACED_PIECE_BYTES, now);
+	for (let sent = 0; sent < bytes; sent += PACED_CHUNK_BYTES) {
+		const waitMs = pacer.reserve(PACED_CHUNK_BYTES, now);
 		now += waitMs > 0 ? waitMs + 1.5 : 0;
 	}
 	const linkMs = (bytes * 8) / 2000;
@@ -48,37 +48,37 @@
 
 test('a chunk is not delayed on a fast link', () => {
 	const pacer = new LinkPacer(1000);
-	assert.equal(pacer.reserve(PACED_PIECE_BYTES, 5), 0);
+	assert.equal(pacer.reserve(PACED_CHUNK_BYTES, 5), 0);
 });
 
 test('less of a response is buffered before it is forwarded on a slow link', () => {
-	assert.equal(heldBytes(1000), 64 * 1024);
-	assert.equal(heldBytes(1), 16 * 1024);
+	assert.equal(maxBufferedBytes(1000), 64 * 1024);
+	assert.equal(maxBufferedBytes(1), 16 * 1024);
 });
 
 test('requests with large responses are admitted as far as the link can transfer them within their objective', () => {
-	const gate = new LargeAnswerGate(8);
+	const gate = new LargeResponseLimiter(8);
 	const route = { name: 'files', objectiveMs: 420 } as Route;
-	const first = gate.admit(route)!;
+	const first = gate.tryAdmit(route)!;
 	assert.equal(first, 0);
-	gate.noteSize(route, 200000);
-	const admitted = [gate.admit(route), gate.admit(route), gate.admit(route), gate.admit(route)];
+	gate.recordSize(route, 200000);
+	const admitted = [gate.tryAdmit(route), gate.tryAdmit(route), gate.tryAdmit(route), gate.tryAdmit(route)];
 	assert.deepEqual(admitted, [200000, 200000, 200000, undefined]);
 	gate.release(200000);
-	assert.equal(gate.admit(route), 200000);
+	assert.equal(gate.tryAdmit(route), 200000);
 });
 
 test('a single large response is admitted on any link', () => {
-	const gate = new LargeAnswerGate(0.1);
+	const gate = new LargeResponseLimiter(0.1);
 	const route = { name: 'files', objectiveMs: 500 } as Route;
-	gate.noteSize(route, 200000);
-	assert.equal(gate.admit(route), 200000);
-	assert.equal(gate.admit(route), undefined);
+	gate.recordSize(route, 200000);
+	assert.equal(gate.tryAdmit(route), 200000);
+	assert.equal(gate.tryAdmit(route), undefined);
 });
 
 test('chunks of the oldest body are sent first', async () => {
 	const scheduler = new LinkScheduler(new LinkPacer(8));
-	const orders = [scheduler.nextOrder(), scheduler.nextOrder()] as const;
+	const orders = [scheduler.nextBodyNumber(), scheduler.nextBodyNumber()] as const;
 	const sent: number[] = [];
 	await new Promise<void>(resolve => {
 		const onSent = (order: number): void => {
@@ -109,5 +109,5 @@
 		sink
 	);
 	assert.deepEqual(Buffer.concat(chunks), sent);
-	assert.ok(chunks.every(chunk => chunk.length <= PACED_PIECE_BYTES));
+	assert.ok(chunks.every(chunk => chunk.length <= PACED_CHUNK_BYTES));
 });
--- a/src/plugins/forwarding/test/lostRunWatch.test.ts
+++ b/src/plugins/forwarding/test/lostRunDetector.test.ts
@@ -11,11 +11,11 @@
 import type { ILogService } from '../../../kernel/node/logService.js';
 import { MetricsService } from '../../../kernel/node/metricsService.js';
 import { TargetPhase, type TargetRecord } from '../../fleet/common/fleetTypes.js';
-import { QuarantinePhase, type SeenRun } from '../../fleet/common/quarantineTypes.js';
-import { BrokenCause } from '../common/attempt.js';
+import { QuarantinePhase, type ObservedLostRun } from '../../fleet/common/quarantineTypes.js';
+import { ResponseFailureCause } from '../common/attempt.js';
 import type { CallerExchange } from '../node/callerExchange.js';
-import type { Journey } from '../node/journey.js';
-import { LostRunWatch } from '../node/lostRunWatch.js';
+import type { RequestContext } from '../node/requestContext.js';
+import { LostRunDetector } from '../node/lostRunDetector.js';
 import { identityOf } from '../node/requestDigest.js';
 import type { RequestBody } from '../node/requestBody.js';
 
@@ -32,16 +32,16 @@
 }
 
 function bodyOf({ body = '' }: Asked): RequestBody {
-	return { beginning: Buffer.from(body), heldLength: body.length } as unknown as RequestBody;
+	return { prefix: Buffer.from(body), bufferedLength: body.length } as unknown as RequestBody;
 }
 
 function digestOf(asked: Asked): string {
 	return identityOf(contextOf(asked)).digest;
 }
 
-function contextOf(asked: Asked): Journey {
+function contextOf(asked: Asked): RequestContext {
 	const known = { phase: QuarantinePhase.Clear, attempts: [] };
-	return { exchange: exchangeOf(asked), body: bodyOf(asked), ...known } as unknown as Journey;
+	return { exchange: exchangeOf(asked), body: bodyOf(asked), ...known } as unknown as RequestContext;
 }
 
 /** Listens on the loopback interface; resolves with the address. */
@@ -57,9 +57,9 @@
 }
 
 /** Runs that are reported as lost after attempts that broke for these causes. */
-async function lostAt(address: string, causes: readonly BrokenCause[]): Promise<readonly SeenRun[]> {
-	const watch = new LostRunWatch(new MetricsService(), { warn: () => undefined } as unknown as ILogService);
-	const lost: SeenRun[] = [];
+async function lostAt(address: string, causes: readonly ResponseFailureCause[]): Promise<readonly ObservedLostRun[]> {
+	const watch = new LostRunDetector(new MetricsService(), { warn: () => undefined } as unknown as ILogService);
+	const lost: ObservedLostRun[] = [];
 	watch.onDidLose(run => lost.push(run));
 	causes.forEach(cause =>
 		watch.recordAttempt(contextOf({}), targetAt(address), { type: 'broken', cause }, systemClock.now() - 5)
@@ -71,7 +71,10 @@
 test('a running target that resets connections causes no lost run', async () => {
 	const server = createServer(socket => socket.destroy());
 	const address = await listen(server);
-	assert.deepEqual(await lostAt(address, [BrokenCause.ConnectionLost, BrokenCause.BrokenOff]), []);
+	assert.deepEqual(
+		await lostAt(address, [ResponseFailureCause.ConnectionLost, ResponseFailureCause.ResponseTruncated]),
+		[]
+	);
 	server.close();
 });
 
@@ -79,7 +82,12 @@
 	const server = createServer();
 	const address = await listen(server);
 	await new Promise(resolve => server.close(resolve));
-	const { ConnectionLost, BrokenOff, Garbled, OtherAnswer } = BrokenCause;
+	const {
+		ConnectionLost,
+		ResponseTruncated: BrokenOff,
+		MalformedResponse: Garbled,
+		ResponseMismatch: OtherAnswer
+	} = ResponseFailureCause;
 	const lost = await lostAt(address, [ConnectionLost, Garbled, OtherAnswer, BrokenOff]);
 	assert.deepEqual(
 		lost.map(({ requestId, targetId }) => [requestId, targetId]),
--- a/src/plugins/forwarding/test/regionCallers.ts
+++ b/src/plugins/forwarding/test/regionCallers.ts
@@ -17,8 +17,8 @@
 import { NotRunCause } from '../common/attempt.js';
 import type { TargetState } from '../common/targets/targetState.js';
 import type { CallerExchange } from '../node/callerExchange.js';
-import type { Journey } from '../node/journey.js';
-import { OutcomeNotes } from '../node/targets/outcomeNotes.js';
+import type { RequestContext } from '../node/requestContext.js';
+import { OutcomeTracker } from '../node/targets/outcomeTracker.js';
 import { TargetSelector } from '../node/placement/targetSelector.js';
 
 const REGIONS = ['north', 'central', 'south'] as const;
@@ -56,7 +56,7 @@
 interface Instance {
 	readonly view: FleetView;
 	readonly selector: TargetSelector;
-	readonly notes: OutcomeNotes;
+	readonly notes: OutcomeTracker;
 	running: RunningRequest[];
 }
 
@@ -156,10 +156,10 @@
 	private _newInstance(index: number): Instance {
 		const view = new FleetView(regionOf);
 		const place = { region: OWN, hall: `${OWN}-a`, name: `entry-${index}` };
-		const shifts = { mostMoved: MAX_MOVED_FRACTION, windowMs: WINDOW_MS };
+		const shifts = { maxMovedFraction: MAX_MOVED_FRACTION, windowMs: WINDOW_MS };
 		const share = new PaceShare(place.name, () => 0);
 		const selector = new TargetSelector(view, place, REGIONS, shifts, share, new TargetLimitTable(view, share));
-		return { view, selector, notes: new OutcomeNotes(), running: [] };
+		return { view, selector, notes: new OutcomeTracker(), running: [] };
 	}
 
 	private _syncAll(): void {
@@ -244,7 +244,7 @@
 		const position = pseudoRandom(number) * route.parts.reduce((sum, part) => sum + part.weight, 0);
 		const service = position < route.parts[0]!.weight ? route.parts[0]!.service : route.parts.at(-1)!.service;
 		const objectKey = String(Math.floor(pseudoRandom(number + 0.5) * OBJECTS));
-		const exchange = { objectKey, requestId: `request-${number}`, hasLeft: false } as unknown as CallerExchange;
+		const exchange = { objectKey, requestId: `request-${number}`, isDisconnected: false } as unknown as CallerExchange;
 		const request = {
 			exchange,
 			route,
@@ -252,11 +252,11 @@
 			service,
 			tried: new Set<string>(),
 			attempts: []
-		} as unknown as Journey;
+		} as unknown as RequestContext;
 		this._try(instance, request);
 	}
 
-	private _try(instance: Instance, request: Journey): void {
+	private _try(instance: Instance, request: RequestContext): void {
 		const chosen = instance.selector.choose(request, this.now);
 		if (!chosen) {
 			this._countEnd(REFUSED);
@@ -279,19 +279,19 @@
 			const left = this._loads.get(id)! - 1;
 			this._loads.set(id, left);
 			const load = { running: Math.min(left, SLOTS), waiting: Math.max(0, left - SLOTS), slots: SLOTS };
-			instance.notes.noteLoad(state, load, now);
+			instance.notes.recordLoad(state, load, now);
 			state.inFlight--;
 			const answer = { type: 'answer', status: 200, rawHeaders: [], endsWithConnection: false } as never;
-			instance.notes.noteOutcome(request, state, answer, tookMs, now);
+			instance.notes.recordOutcome(request, state, answer, tookMs, now);
 		};
 		instance.running.push({ endsAt: this.now + tookMs, end });
 	}
 
 	/** Handles a failed connection: retries with another target, up to the maximum number of attempts. */
-	private _fail(instance: Instance, request: Journey, state: TargetState, now: Millis): void {
+	private _fail(instance: Instance, request: RequestContext, state: TargetState, now: Millis): void {
 		state.inFlight--;
 		const outcome = { type: 'not-run', hasArrived: false, cause: NotRunCause.NoConnection } as const;
-		instance.notes.noteOutcome(request, state, outcome, REFUSAL_MS, now);
+		instance.notes.recordOutcome(request, state, outcome, REFUSAL_MS, now);
 		if (request.tried.size < MAX_ATTEMPTS) {
 			this._try(instance, request);
 		} else {
--- a/src/plugins/forwarding/test/targetExchange.test.ts
+++ b/src/plugins/forwarding/test/targetExchange.test.ts
@@ -7,9 +7,9 @@
 import assert from 'node:assert/strict';
 import { Duplex } from 'node:stream';
 import { test } from 'node:test';
-import { type AttemptOutcome, BrokenCause, NotRunCause } from '../common/attempt.js';
+import { type AttemptOutcome, ResponseFailureCause, NotRunCause } from '../common/attempt.js';
 import type { IHeaderNames } from '../common/headerNames.js';
-import type { TargetWord } from '../common/targets/targetWord.js';
+import type { TargetReport } from '../common/targets/targetReport.js';
 import { RequestBody } from '../node/requestBody.js';
 import { TargetAgent } from '../node/targets/targetAgent.js';
 import { TargetExchange } from '../node/targetExchange.js';
@@ -23,7 +23,7 @@
 	expectedTarget: 'expected',
 	notRun: 'not-run',
 	load: 'load',
-	rest: 'rest',
+	retryAfter: 'rest',
 	leaving: 'leaving',
 	limit: 'limit',
 	stamp: 'stamp'
@@ -54,7 +54,7 @@
 }
 
 /** What targets reported in response headers, in order. */
-const reports: TargetWord[] = [];
+const reports: TargetReport[] = [];
 
 async function startAttempt(play: (connection: Duplex) => void, connecting = false): Promise<TargetExchange> {
 	const body = await RequestBody.read({ headers: {} } as never);
@@ -99,7 +99,10 @@
 	await new Promise(resolve => setTimeout(resolve, 10));
 	sent.failOnTargetRestart();
 	const outcome = await sent.outcome;
-	assert.deepEqual([outcome.type, outcome.type === 'broken' && outcome.cause], ['broken', BrokenCause.ConnectionLost]);
+	assert.deepEqual(
+		[outcome.type, outcome.type === 'broken' && outcome.cause],
+		['broken', ResponseFailureCause.ConnectionLost]
+	);
 });
 
 test('the stream of a large response without a length fails when its connection is reset', async () => {
@@ -107,10 +110,10 @@
 		connection.push(`HTTP/1.1 200 OK\r\nRequest-Id: a\r\n\r\n${'x'.repeat(100000)}`);
 		setTimeout(() => connection.destroy(resetError()), 10);
 	});
-	assert.ok(outcome.type === 'answer' && outcome.rest);
+	assert.ok(outcome.type === 'answer' && outcome.remainingBody);
 	const end = await new Promise(resolve => {
-		outcome.rest!.once('end', () => resolve('whole')).once('error', () => resolve('broken'));
-		outcome.rest!.resume();
+		outcome.remainingBody!.once('end', () => resolve('whole')).once('error', () => resolve('broken'));
+		outcome.remainingBody!.resume();
 	});
 	assert.equal(end, 'broken');
 });
@@ -137,9 +140,9 @@
 	const outcome = await attempt(connection =>
 		connection.push('HTTP/1.1 200 OK\r\nRequest-Id: a\r\nContent-Length: 100000\r\n\r\nfirst bytes')
 	);
-	assert.ok(outcome.type === 'answer' && outcome.rest);
+	assert.ok(outcome.type === 'answer' && outcome.remainingBody);
 	assert.equal(outcome.body.toString(), 'first bytes');
-	outcome.rest.destroy();
+	outcome.remainingBody.destroy();
 });
 
 test('a target that refuses a request counts as full, unless the load that it reports leaves room', async () => {
@@ -167,7 +170,7 @@
 			setTimeout(() => connection.destroy(resetError()), 5);
 		});
 		assert.deepEqual(
-			reports.map(({ restMs, isLeaving }) => restMs === 3000 || isLeaving),
+			reports.map(({ backoffMs: restMs, isLeaving }) => restMs === 3000 || isLeaving),
 			[true]
 		);
 	}
@@ -185,13 +188,13 @@
 
 test('a request can be cancelled as not run until its connection is established, and not afterwards', async () => {
 	const waiting = await startAttempt(() => undefined, true);
-	waiting.cancelIfUnwritten(NotRunCause.AtRest);
-	assert.deepEqual(await waiting.outcome, { type: 'not-run', hasArrived: false, cause: NotRunCause.AtRest });
+	waiting.cancelIfUnwritten(NotRunCause.BackingOff);
+	assert.deepEqual(await waiting.outcome, { type: 'not-run', hasArrived: false, cause: NotRunCause.BackingOff });
 	assert.equal(waiting.writtenAt, undefined);
 	const written = await startAttempt(connection =>
 		connection.push('HTTP/1.1 200 OK\r\nRequest-Id: a\r\nContent-Length: 2\r\n\r\nok')
 	);
 	await new Promise(resolve => setImmediate(resolve));
-	written.cancelIfUnwritten(NotRunCause.AtRest);
+	written.cancelIfUnwritten(NotRunCause.BackingOff);
 	assert.equal((await written.outcome).type, 'answer');
 });
--- a/src/plugins/forwarding/test/targetHealth.test.ts
+++ b/src/plugins/forwarding/test/targetHealth.test.ts
@@ -30,7 +30,7 @@
 
 test('after an ejection a target gets one request at a time, until a response shows that it has recovered', () => {
 	const health = new TargetHealth();
-	health.noteUnreachable(0);
+	health.recordUnreachable(0);
 	assert.equal(health.admits(0, 1), false);
 	assert.equal(health.admits(0, 500), true);
 	assert.equal(health.admits(1, 500), false);
@@ -63,7 +63,7 @@
 
 test('a failed connection ejects a target at once', () => {
 	const health = new TargetHealth();
-	health.noteUnreachable(0);
+	health.recordUnreachable(0);
 	assert.equal(health.isEjected(1), true);
 });
 
--- a/src/plugins/forwarding/test/targetWord.test.ts
+++ b/src/plugins/forwarding/test/targetReport.test.ts
@@ -15,15 +15,15 @@
 	type ResponseHead,
 	parseLimit,
 	parseRetryAfter,
-	readTargetWord,
-	type TargetWord
-} from '../common/targets/targetWord.js';
+	parseTargetReport,
+	type TargetReport
+} from '../common/targets/targetReport.js';
 
 const HEADER_NAMES = {
 	requestId: 'id',
 	notRun: 'not-run',
 	load: 'load',
-	rest: 'retry-after',
+	retryAfter: 'retry-after',
 	leaving: 'leaving',
 	limit: 'limit'
 } as IHeaderNames;
@@ -31,11 +31,11 @@
 const DAY_MS = 24 * 3600 * 1000;
 
 /** Parses a response with these headers, which may contain a name more than once. */
-function reportOf(status: number, headers: readonly (readonly [string, string])[]): TargetWord {
+function reportOf(status: number, headers: readonly (readonly [string, string])[]): TargetReport {
 	const headersDistinct: Record<string, string[]> = {};
 	headers.forEach(([name, value]) => (headersDistinct[name] ??= []).push(value));
 	const first = Object.fromEntries(Object.entries(headersDistinct).map(([name, values]) => [name, values[0]]));
-	return readTargetWord(
+	return parseTargetReport(
 		{ statusCode: status, headers: first, headersDistinct } as ResponseHead,
 		HEADER_NAMES,
 		WALL_NOW
@@ -74,23 +74,23 @@
 
 test('a backoff given as a date is relative to the Date header, if the response has one', () => {
 	const retryAfter = ['retry-after', 'Thu, 03 Dec 2026 10:00:05 GMT'] as const;
-	assert.equal(reportOf(503, [retryAfter]).restMs, 5000);
-	assert.equal(reportOf(503, [retryAfter, ['date', 'Thu, 03 Dec 2026 10:00:02 GMT']]).restMs, 3000);
+	assert.equal(reportOf(503, [retryAfter]).backoffMs, 5000);
+	assert.equal(reportOf(503, [retryAfter, ['date', 'Thu, 03 Dec 2026 10:00:02 GMT']]).backoffMs, 3000);
 });
 
 test('only 429 and 503 responses request a backoff, and the longest value applies', () => {
 	for (const status of [503, 429]) {
-		assert.equal(reportOf(status, [['retry-after', '3']]).restMs, 3000);
+		assert.equal(reportOf(status, [['retry-after', '3']]).backoffMs, 3000);
 	}
 	for (const status of [200, 301, 400, 421, 500, 502, 504]) {
-		assert.equal(reportOf(status, [['retry-after', '3']]).restMs, 0);
+		assert.equal(reportOf(status, [['retry-after', '3']]).backoffMs, 0);
 	}
 	const both = [
 		['retry-after', '1'],
 		['retry-after', '4'],
 		['retry-after', 'x']
 	] as const;
-	assert.equal(reportOf(503, both).restMs, 4000);
+	assert.equal(reportOf(503, both).backoffMs, 4000);
 });
 
 test('any response may announce a shutdown, or state that the request was not executed', () => {
@@ -107,7 +107,7 @@
 	const header = fc.tuple(fc.constantFrom('retry-after', 'date', 'load', 'leaving', 'not-run'), value);
 	fc.assert(
 		fc.property(fc.integer({ min: 100, max: 599 }), fc.array(header), (status, headers) => {
-			const { restMs: backoffMs, load } = reportOf(status, headers);
+			const { backoffMs, load } = reportOf(status, headers);
 			assert.ok(backoffMs >= 0 && backoffMs <= DAY_MS, `${backoffMs}`);
 			assert.ok(!load || Object.values(load).every(number => Number.isFinite(number) && number >= 0));
 		})
@@ -118,7 +118,7 @@
 	const reports = fc.array(
 		fc.record<BackoffRequest & { readonly afterMs: number }>({
 			afterMs: fc.nat(4000),
-			restMs: fc.nat(5000),
+			backoffMs: fc.nat(5000),
 			isLeaving: fc.boolean()
 		})
 	);
@@ -129,11 +129,11 @@
 			let end = 0;
 			for (const { afterMs, ...report } of received) {
 				now += afterMs;
-				backoff.hear(report, now);
-				end = report.restMs > 0 ? Math.max(end, now + report.restMs) : end;
+				backoff.apply(report, now);
+				end = report.backoffMs > 0 ? Math.max(end, now + report.backoffMs) : end;
 			}
 			const isLeaving = received.some(report => report.isLeaving);
-			assert.equal(backoff.isAsked(now + laterMs), isLeaving || now + laterMs < end);
+			assert.equal(backoff.isActive(now + laterMs), isLeaving || now + laterMs < end);
 		})
 	);
 });
--- a/src/plugins/limits/common/targetLimitTable.ts
+++ b/src/plugins/limits/common/targetLimitTable.ts
@@ -12,7 +12,7 @@
 import { Emitter } from '../../../base/event.js';
 import type { TargetRecord } from '../../fleet/common/fleetTypes.js';
 import type { FleetView } from '../../fleet/common/fleetView.js';
-import type { ToldLimit } from '../../fleet/common/fleetWire.js';
+import type { ReportedLimit } from '../../fleet/common/fleetWire.js';
 import type { PaceShare } from '../../fleet/common/paceShare.js';
 import type { PermitAnswer, PermitRequest } from './permitWire.js';
 import { type LimitWord, TargetLimit } from './targetLimit.js';
@@ -65,13 +65,13 @@
 		if (known?.limit.perSecond === undefined) {
 			return true;
 		}
-		const share = this._share.of(record);
+		const share = this._share.fractionFor(record);
 		return share > 0 ? known.limit.hasPermit(share, now) : mayAsk && this.lender(record, now) !== undefined;
 	}
 
 	permitInMs(record: TargetRecord, now: Millis): Millis {
 		const known = this._knownOf(record, now);
-		const share = this._share.of(record);
+		const share = this._share.fractionFor(record);
 		if (!known || share > 0) {
 			return known?.limit.permitInMs(share, now) ?? 0;
 		}
@@ -95,7 +95,7 @@
 
 	/** Takes a permit of this instance's own part. */
 	takeOwn(record: TargetRecord, now: Millis): boolean {
-		const share = this._share.of(record);
+		const share = this._share.fractionFor(record);
 		return share > 0 && (this._knownOf(record, now)?.limit.takePermit(share, now) ?? true);
 	}
 
@@ -110,7 +110,7 @@
 	/** Another instance asks for a permit. */
 	lend({ targetId, bornAt }: PermitRequest, now: Millis): PermitAnswer {
 		const record = this._view.target(targetId)?.record;
-		const share = record?.bornAt === bornAt ? this._share.of(record) : 0;
+		const share = record?.bornAt === bornAt ? this._share.fractionFor(record) : 0;
 		if (!record || share === 0) {
 			return { isGranted: false, waitMs: NO_ANSWER_WAIT_MS };
 		}
@@ -134,7 +134,7 @@
 	}
 
 	/** Limits that targets named, or ended, here, and that their records do not have. */
-	untold(now: Millis): ToldLimit[] {
+	untold(now: Millis): ReportedLimit[] {
 		return this._current(now).flatMap(({ record, limit: { perSecond } }) =>
 			isApart(perSecond, record.limitPerSecond)
 				? [{ id: record.id, bornAt: record.bornAt, perSecond: perSecond ?? null }]
--- a/src/plugins/limits/node/targetLimitsTask.ts
+++ b/src/plugins/limits/node/targetLimitsTask.ts
@@ -83,7 +83,7 @@
 
 	/** What targets named to this instance is to be known to all of them. */
 	private _tell(hasNews: boolean): void {
-		this._session.tellLimits(this._table.untold(systemClock.now()), hasNews);
+		this._session.reportLimits(this._table.untold(systemClock.now()), hasNews);
 	}
 
 	private async _borrow(record: TargetRecord, { name, address }: Lender): Promise<IPermit | undefined> {
--- a/test/bench/choice.ts
+++ b/test/bench/choice.ts
@@ -13,7 +13,7 @@
 import { PaceShare } from '../../src/plugins/fleet/common/paceShare.js';
 import type { SyncResponse } from '../../src/plugins/fleet/common/fleetWire.js';
 import { TargetSelector } from '../../src/plugins/forwarding/node/placement/targetSelector.js';
-import type { Journey } from '../../src/plugins/forwarding/node/journey.js';
+import type { RequestContext } from '../../src/plugins/forwarding/node/requestContext.js';
 import { TargetLimitTable } from '../../src/plugins/limits/common/targetLimitTable.js';
 import { RepeatRule, type Route } from '../../src/plugins/routes/common/routeTable.js';
 
@@ -81,13 +81,13 @@
 	view.apply(responseWith(Array.from({ length: targets }, (_, i) => describeTarget(i, limitPerSecond))), 1);
 	const share = new PaceShare(NAME, () => 0);
 	const place = { name: NAME, hall: 'north', region: 'north' };
-	const shifts = { mostMoved: 0.15, windowMs: 2000 };
+	const shifts = { maxMovedFraction: 0.15, windowMs: 2000 };
 	return new TargetSelector(view, place, REGIONS, shifts, share, new TargetLimitTable(view, share));
 }
 
-function newJourney(index: number): Journey {
+function newJourney(index: number): RequestContext {
 	return {
-		exchange: { objectKey: `o-${index % OBJECTS}`, requestId: `r-${index}`, hasLeft: false },
+		exchange: { objectKey: `o-${index % OBJECTS}`, requestId: `r-${index}`, isDisconnected: false },
 		route: ROUTE,
 		homeRegions: [],
 		service: SERVICE,
@@ -95,7 +95,7 @@
 		refusals: 0,
 		permitsDenied: 0,
 		attempts: []
-	} as unknown as Journey;
+	} as unknown as RequestContext;
 }
 
 /** @returns microseconds a choice */
--- a/test/loads/fleetModel.ts
+++ b/test/loads/fleetModel.ts
@@ -10,21 +10,21 @@
 
 import TinyQueue from 'tinyqueue';
 import type { Millis } from '../../src/base/clock.js';
-import { drawPacedSenders } from '../../src/plugins/fleet/common/pacedSenders.js';
+import { selectPacedSenders } from '../../src/plugins/fleet/common/pacedSenders.js';
 import { PaceShare } from '../../src/plugins/fleet/common/paceShare.js';
 import { FleetView } from '../../src/plugins/fleet/common/fleetView.js';
 import { type EntryDescription, TargetPhase, type TargetRecord } from '../../src/plugins/fleet/common/fleetTypes.js';
 import type { SyncResponse } from '../../src/plugins/fleet/common/fleetWire.js';
 import type { SenderAddress } from '../../src/plugins/fleet/common/fleetWire.js';
-import { type CrowdedTarget, TargetNeeds } from '../../src/plugins/fleet/common/targetNeeds.js';
+import { type CrowdedTarget, RequestedWork } from '../../src/plugins/fleet/common/requestedWork.js';
 import type { AttemptTrace } from '../../src/plugins/forwarding/common/requestTrace.js';
-import { RetryAllowance } from '../../src/plugins/forwarding/common/retryAllowance.js';
-import { mayTryAgain, refusalCause } from '../../src/plugins/forwarding/common/targets/targetRefusal.js';
-import { parseLoadWord } from '../../src/plugins/forwarding/common/targets/targetWord.js';
+import { ServiceRetryBudget } from '../../src/plugins/forwarding/common/serviceRetryBudget.js';
+import { mayRetrySameTarget, refusalCause } from '../../src/plugins/forwarding/common/targets/targetRefusal.js';
+import { parseLoadReport } from '../../src/plugins/forwarding/common/targets/targetReport.js';
 import type { ChosenTarget } from '../../src/plugins/forwarding/common/placement/targetChoice.js';
 import type { CallerExchange } from '../../src/plugins/forwarding/node/callerExchange.js';
-import type { Journey } from '../../src/plugins/forwarding/node/journey.js';
-import { OutcomeNotes } from '../../src/plugins/forwarding/node/targets/outcomeNotes.js';
+import type { RequestContext } from '../../src/plugins/forwarding/node/requestContext.js';
+import { OutcomeTracker } from '../../src/plugins/forwarding/node/targets/outcomeTracker.js';
 import { TargetSelector } from '../../src/plugins/forwarding/node/placement/targetSelector.js';
 import { RepeatRule, type Route } from '../../src/plugins/routes/common/routeTable.js';
 import type { TargetLimitTable } from '../../src/plugins/limits/common/targetLimitTable.js';
@@ -108,8 +108,8 @@
 	readonly limits: TargetLimitTable;
 	readonly view: FleetView;
 	readonly selector: TargetSelector;
-	readonly notes: OutcomeNotes;
-	readonly retries: RetryAllowance;
+	readonly notes: OutcomeTracker;
+	readonly retries: ServiceRetryBudget;
 }
 
 /** What a caller asks; it may come back with it. */
@@ -156,7 +156,7 @@
 	private _revision = 1;
 	/** The latest rest that a target asked of an instance. */
 	private readonly _rests = new Map<string, { readonly from: Millis; readonly to: Millis }>();
-	private readonly _needs = new TargetNeeds();
+	private readonly _needs = new RequestedWork();
 	private _crowded: readonly CrowdedTarget[] = [];
 	private _order = 0;
 	private _random: number;
@@ -210,7 +210,7 @@
 			slots: this._settings.target.slots,
 			phase: TargetPhase.Serving,
 			changedAt: this._revision,
-			pacedSenders: drawPacedSenders(id, region, this._entries)
+			pacedSenders: selectPacedSenders(id, region, this._entries)
 		};
 		this._records.push(record);
 		this.targets.set(id, new TargetModel(id, this._settings.target));
@@ -253,13 +253,13 @@
 		const view = new FleetView(regionOf);
 		const name = `${region}-entry-${index}`;
 		const place = { region, hall: `${region}-hall`, name };
-		const shifts = { mostMoved: 0.15, windowMs: 2000 };
+		const shifts = { maxMovedFraction: 0.15, windowMs: 2000 };
 		const limits = limitTableFor(name, this._settings.limitWay ?? 'asked', this._settings.instances, view);
 		limits.onDidChange(() => this._tellLimits(limits));
 		const share = new PaceShare(name, () => 0);
 		const selector = new TargetSelector(view, place, this._regions, shifts, share, limits);
-		const retries = new RetryAllowance({ ratio: 0.2, windowMs: 10000, slack: 2 * this._settings.instances });
-		return { name, region, view, limits, selector, notes: new OutcomeNotes(), retries };
+		const retries = new ServiceRetryBudget({ ratio: 0.2, windowMs: 10000, slack: 2 * this._settings.instances });
+		return { name, region, view, limits, selector, notes: new OutcomeTracker(), retries };
 	}
 
 	private get _entries(): EntryDescription[] {
@@ -291,8 +291,8 @@
 	private _keepInSync(instance: Instance, delayMs: Millis): void {
 		this._at(this.now + delayMs, () => {
 			const { selector, notes } = instance;
-			this._needs.note(
-				selector.takeNeeds(service => notes.typicalMs(service, this.now)),
+			this._needs.addReported(
+				selector.takeRequestedWork(service => notes.serviceTimeMs(service, this.now)),
 				this.now
 			);
 			instance.view.apply(this._responseTo(instance), this.now);
@@ -303,7 +303,7 @@
 	/** What control works out of the needs, a short time after it was told. */
 	private _keepCrowded(): void {
 		this._at(this.now + EXCHANGE_MS, () => {
-			this._crowded = this._needs.crowded(this._records, regionOf, this.now);
+			this._crowded = this._needs.findCrowded(this._records, regionOf, this.now);
 			this._keepCrowded();
 		});
 	}
@@ -375,10 +375,10 @@
 	}
 
 	private _send(instance: Instance, request: CallerRequest): void {
-		instance.notes.noteRequest(SERVICE, this.now);
-		instance.retries.noteFirstTry(this.now);
+		instance.notes.recordRequest(SERVICE, this.now);
+		instance.retries.recordFirstAttempt(this.now);
 		const { objectKey, requestId } = request;
-		const exchange = { objectKey, requestId, hasLeft: false } as unknown as CallerExchange;
+		const exchange = { objectKey, requestId, isDisconnected: false } as unknown as CallerExchange;
 		const journey = {
 			exchange,
 			route: { ...ROUTE, objectiveMs: this._settings.objectiveMs },
@@ -388,7 +388,7 @@
 			refusals: 0,
 			permitsDenied: 0,
 			attempts: []
-		} as unknown as Journey;
+		} as unknown as RequestContext;
 		this._try(instance, journey, request);
 	}
 
@@ -405,7 +405,7 @@
 		});
 	}
 
-	private _try(instance: Instance, journey: Journey, request: CallerRequest): void {
+	private _try(instance: Instance, journey: RequestContext, request: CallerRequest): void {
 		const chosen = instance.selector.choose(journey, this.now);
 		if (!chosen) {
 			this._refuse(instance, request);
@@ -421,7 +421,12 @@
 	}
 
 	/** Asks a sender of the target for a permit; without one the request looks for another target. */
-	private _askForPermit(instance: Instance, journey: Journey, chosen: ChosenTarget, request: CallerRequest): void {
+	private _askForPermit(
+		instance: Instance,
+		journey: RequestContext,
+		chosen: ChosenTarget,
+		request: CallerRequest
+	): void {
 		const { record } = chosen.known;
 		const lender = instance.limits.lender(record, this.now);
 		const other = this._instances.find(({ name }) => name === lender?.name);
@@ -453,7 +458,7 @@
 		});
 	}
 
-	private _sendTo(instance: Instance, journey: Journey, chosen: ChosenTarget, request: CallerRequest): void {
+	private _sendTo(instance: Instance, journey: RequestContext, chosen: ChosenTarget, request: CallerRequest): void {
 		const { known, state } = chosen;
 		journey.tried.add(known.record.id);
 		journey.attempts.push({ target: known.record.id } as AttemptTrace);
@@ -465,7 +470,7 @@
 
 	private _arrive(
 		instance: Instance,
-		journey: Journey,
+		journey: RequestContext,
 		chosen: ChosenTarget,
 		request: CallerRequest,
 		wayMs: Millis
@@ -517,7 +522,7 @@
 
 	private _answer(
 		instance: Instance,
-		journey: Journey,
+		journey: RequestContext,
 		{ state }: ChosenTarget,
 		sentAt: Millis,
 		request: CallerRequest,
@@ -529,30 +534,30 @@
 			const second = Math.floor((request.askedAt - this._startedAt) / 1000);
 			this._inTimeBySecond[second] = (this._inTimeBySecond[second] ?? 0) + 1;
 		}
-		instance.notes.noteLoad(state, parseLoadWord(loadWord), this.now);
+		instance.notes.recordLoad(state, parseLoadReport(loadWord), this.now);
 		const answer = { type: 'answer', status: 200, rawHeaders: [], endsWithConnection: false } as never;
-		instance.notes.noteOutcome(journey, state, answer, this.now - sentAt, this.now);
+		instance.notes.recordOutcome(journey, state, answer, this.now - sentAt, this.now);
 		state.inFlight--;
 	}
 
 	private _turnAway(
 		instance: Instance,
-		journey: Journey,
+		journey: RequestContext,
 		{ known, state }: ChosenTarget,
 		request: CallerRequest,
 		{ loadWord, restMs }: Refusal
 	): void {
-		const cause = refusalCause(parseLoadWord(loadWord));
+		const cause = refusalCause(parseLoadReport(loadWord));
 		const outcome = { type: 'not-run', hasArrived: true, cause } as const;
-		instance.notes.noteLoad(state, parseLoadWord(loadWord), this.now);
-		instance.notes.noteOutcome(journey, state, outcome, 0, this.now);
-		state.rest.hear({ restMs, isLeaving: false }, this.now);
+		instance.notes.recordLoad(state, parseLoadReport(loadWord), this.now);
+		instance.notes.recordOutcome(journey, state, outcome, 0, this.now);
+		state.backoff.apply({ backoffMs: restMs, isLeaving: false }, this.now);
 		state.inFlight--;
 		journey.refusals++;
-		if (mayTryAgain(cause, known.record.id, journey.attempts)) {
+		if (mayRetrySameTarget(cause, known.record.id, journey.attempts)) {
 			journey.tried.delete(known.record.id);
 		}
-		if (journey.refusals < MAX_REFUSALS && instance.retries.take(this._instances.length, this.now)) {
+		if (journey.refusals < MAX_REFUSALS && instance.retries.tryTake(this._instances.length, this.now)) {
 			this._try(instance, journey, request);
 		} else {
 			this._refuse(instance, request);
--- a/test/loads/limitModel.ts
+++ b/test/loads/limitModel.ts
@@ -35,14 +35,14 @@
 		super(name, () => 0);
 	}
 
-	override of(record: Parameters<PaceShare['of']>[0]): number {
+	override fractionFor(record: Parameters<PaceShare['fractionFor']>[0]): number {
 		switch (this._way) {
 			case 'each':
 				return 1;
 			case 'parts':
 				return 1 / this._instances;
 			default:
-				return super.of(record);
+				return super.fractionFor(record);
 		}
 	}
 }
--- a/test/loads/lossModel.ts
+++ b/test/loads/lossModel.ts
@@ -12,13 +12,17 @@
 import { Emitter } from '../../src/base/event.js';
 import { rendezvousRank } from '../../src/base/hashing.js';
 import type { IFleetSession } from '../../src/plugins/fleet/common/fleetSession.js';
-import { KnownQuarantine } from '../../src/plugins/fleet/common/knownQuarantine.js';
-import { LossOrder } from '../../src/plugins/fleet/common/lossOrder.js';
+import { QuarantineView } from '../../src/plugins/fleet/common/quarantineView.js';
+import { IndependentLossFilter } from '../../src/plugins/fleet/common/independentLossFilter.js';
 import { QuarantineState } from '../../src/plugins/fleet/common/quarantineState.js';
-import { QuarantinePhase, type SeenRun, told } from '../../src/plugins/fleet/common/quarantineTypes.js';
+import {
+	QuarantinePhase,
+	type ObservedLostRun,
+	toReportedRun
+} from '../../src/plugins/fleet/common/quarantineTypes.js';
 import { identityOf } from '../../src/plugins/forwarding/node/requestDigest.js';
-import type { Journey } from '../../src/plugins/forwarding/node/journey.js';
-import type { LostRunWatch } from '../../src/plugins/forwarding/node/lostRunWatch.js';
+import type { RequestContext } from '../../src/plugins/forwarding/node/requestContext.js';
+import type { LostRunDetector } from '../../src/plugins/forwarding/node/lostRunDetector.js';
 import { QuarantineGuard } from '../../src/plugins/forwarding/node/quarantineGuard.js';
 
 /** What instances go by. */
@@ -68,9 +72,9 @@
 }
 
 interface Instance {
-	readonly known: KnownQuarantine;
+	readonly known: QuarantineView;
 	readonly guard: QuarantineGuard;
-	readonly onDidLose: Emitter<SeenRun>;
+	readonly onDidLose: Emitter<ObservedLostRun>;
 }
 
 interface Scheduled {
@@ -95,7 +99,7 @@
 	private readonly _targets: Target[];
 	private readonly _instances: Instance[];
 	private readonly _state = new QuarantineState();
-	private readonly _order = new LossOrder();
+	private readonly _order = new IndependentLossFilter();
 	private readonly _events = new TinyQueue<Scheduled>([], (a, b) => a.at - b.at || a.order - b.order);
 	private readonly _counts = { answered: 0, lost: 0, lostRuns: 0, quarantined: 0, endedUnder: 0, sentTooLate: 0 };
 	/** When targets ended under the request that ends them. */
@@ -170,22 +174,22 @@
 	}
 
 	private _newInstance(): Instance {
-		const known = new KnownQuarantine();
-		const onDidLose = new Emitter<SeenRun>();
+		const known = new QuarantineView();
+		const onDidLose = new Emitter<ObservedLostRun>();
 		const hasControl = this._settings.memory === Memory.Shared;
 		const session = {
 			view: { quarantine: known },
-			reportRun: (run: SeenRun) => hasControl && this._tellRun(run),
+			reportRun: (run: ObservedLostRun) => hasControl && this._tellRun(run),
 			reportAnswer: (digest: string) => hasControl && this._tellAnswer(digest)
 		} as unknown as IFleetSession;
-		const watch = { onDidLose: onDidLose.event } as unknown as LostRunWatch;
+		const watch = { onDidLose: onDidLose.event } as unknown as LostRunDetector;
 		return { known, onDidLose, guard: new QuarantineGuard(session, watch) };
 	}
 
-	private _tellRun(run: SeenRun): void {
-		const toldRun = told(run, this.now);
+	private _tellRun(run: ObservedLostRun): void {
+		const toldRun = toReportedRun(run, this.now);
 		this._at(this._settings.wordMs * (0.5 + this._draw()), () => {
-			if (this._order.admits(toldRun, this.now)) {
+			if (this._order.recordIfIndependent(toldRun, this.now)) {
 				this._state.apply({ type: 'noteRuns', runs: [run] });
 			}
 		});
@@ -200,7 +204,7 @@
 		this._attempt(instance, newJourney(path, `r-${++this._tries}`), 1);
 	}
 
-	private _attempt(instance: Instance, journey: Journey, attempt: number): void {
+	private _attempt(instance: Instance, journey: RequestContext, attempt: number): void {
 		const { guard } = instance;
 		journey.phase = this._settings.memory === Memory.None ? QuarantinePhase.Clear : guard.phase(journey);
 		if (journey.phase === QuarantinePhase.Quarantined) {
@@ -217,7 +221,7 @@
 		this._run(instance, journey, this._targets[Number(place)]!, attempt);
 	}
 
-	private _run(instance: Instance, journey: Journey, target: Target, attempt: number): void {
+	private _run(instance: Instance, journey: RequestContext, target: Target, attempt: number): void {
 		const sentAt = this.now;
 		const targetId = target.id;
 		let isOver = false;
@@ -250,15 +254,15 @@
 			if (!isOver) {
 				target.running.delete(onLost);
 				this._counts.answered++;
-				instance.guard.noteOutcome(journey, { type: 'answer', status: 200 } as never);
+				instance.guard.recordOutcome(journey, { type: 'answer', status: 200 } as never);
 			}
 		});
 	}
 
-	private _noteLost({ onDidLose }: Instance, journey: Journey, targetId: string, sentAt: Millis): void {
+	private _noteLost({ onDidLose }: Instance, journey: RequestContext, targetId: string, sentAt: Millis): void {
 		const afterTargetId = journey.lostTargetId;
 		journey.lostTargetId = targetId;
-		journey.hasEndedTarget = true;
+		journey.wasLostWithTarget = true;
 		this._counts.lostRuns++;
 		const wasSuspected = journey.phase !== QuarantinePhase.Clear;
 		const { requestId } = journey.exchange;
@@ -302,8 +306,8 @@
 	}
 }
 
-function newJourney(path: string, requestId: string): Journey {
+function newJourney(path: string, requestId: string): RequestContext {
 	const exchange = { request: { method: 'GET', headers: {} }, host: 'shop.example', path, requestId };
-	const body = { beginning: Buffer.alloc(0), heldLength: 0 };
-	return { exchange, body, tried: new Set(), phase: QuarantinePhase.Clear, attempts: [] } as unknown as Journey;
+	const body = { prefix: Buffer.alloc(0), bufferedLength: 0 };
+	return { exchange, body, tried: new Set(), phase: QuarantinePhase.Clear, attempts: [] } as unknown as RequestContext;
 }
