--- a/src/plugins/agreement/agreement.plugin.ts
+++ b/src/plugins/agreement/agreement.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the replicated log. */
+/** Registers the services of the replicated log and starts its replica on control instances. */
 
 import {
 	ContributionPhase,
@@ -14,12 +14,12 @@
 import { IAgreement } from './common/agreement.js';
 import { ILeaderGate } from './common/leaderGate.js';
 import { AgreementTask } from './node/agreementTask.js';
-import { LeaderGate } from './node/leaderGate.js';
+import { LeaderForwarder } from './node/leaderForwarder.js';
 
 pluginRegistry.registerSingleton(IAgreement, AgreementTask);
-pluginRegistry.registerSingleton(ILeaderGate, LeaderGate);
+pluginRegistry.registerSingleton(ILeaderGate, LeaderForwarder);
 
-/** Starts the replica, first of all contributions of a control instance. */
+/** Starts the replica in the foundation phase, before the contributions that depend on it. */
 class AgreementContribution implements IContribution {
 	constructor(@IAgreement private readonly _agreement: IAgreement) {}
 
--- a/src/plugins/agreement/common/agreement.ts
+++ b/src/plugins/agreement/common/agreement.ts
@@ -2,22 +2,22 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the other features see of the replicated log. */
+/** Interface of the replicated log for other features. */
 
 import type { Event } from '../../../base/event.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { Member, MemberId, ReplicaRole } from './agreementTypes.js';
 import type { IReplicatedPart, PartCommand } from './replicatedState.js';
 
-/** This replica does not lead; nothing was appended. */
+/** This replica is not the leader; nothing was appended. */
 export class NotLeaderError extends Error {
 	constructor(readonly leader: MemberId | undefined) {
-		super(leader ? `the leader is ${leader}` : 'there is no leader now');
+		super(leader ? `the leader is ${leader}` : 'there is currently no leader');
 		this.name = 'NotLeaderError';
 	}
 }
 
-/** The command was appended but leadership was lost before it was known to be committed. */
+/** The command was appended, but this replica lost leadership before the commit was confirmed. */
 export class OutcomeUnknownError extends Error {
 	constructor() {
 		super('leadership was lost before the command was known to be committed');
@@ -25,7 +25,7 @@
 	}
 }
 
-/** State of a replica, for operators and metrics. */
+/** Status of a replica, for operators and metrics. */
 export interface ReplicaStatus {
 	readonly id: MemberId;
 	readonly incarnation: string;
@@ -40,30 +40,30 @@
 
 /** The replicated log of the control instances. */
 export interface IAgreement {
-	/** Fires when this replica gains or loses leadership. */
+	/** Fires with true when this replica becomes the leader, with false when it loses leadership. */
 	readonly onDidChangeLeadership: Event<boolean>;
-	/** Opens the files, the peer listener and the timers; every handler and part must be there before. */
+	/** Opens the log, the peer listener and the timers. All peer handlers and replicated parts must be registered before. */
 	start(): Promise<void>;
-	/** Adds a part of the replicated state; before the log starts. */
+	/** Registers a part of the replicated state; must be called before `start`. */
 	addPart(part: IReplicatedPart): void;
 	/**
-	 * Proposes a command and resolves with the result of applying it, once committed.
-	 * @throws NotLeaderError nothing was appended
-	 * @throws OutcomeUnknownError it may or may not be committed
+	 * Appends a command to the log and resolves with the result of applying it, once committed.
+	 * @throws NotLeaderError if nothing was appended
+	 * @throws OutcomeUnknownError if the command may or may not be committed
 	 */
 	propose<T>(command: PartCommand): Promise<T>;
-	/** Whether this replica leads and may answer reads at this moment. */
+	/** Whether this replica is the leader and may answer reads now. */
 	hasLease(): boolean;
 	/**
-	 * How long ago this replica was last known to be current: a leader by its quorum, any other by its leader.
-	 * @returns milliseconds; infinite where there is no leader
+	 * Time since this replica was last known to hold everything committed: for a leader, since the last contact with a
+	 * quorum; for any other replica, since it last held all that its leader reported as committed.
+	 * @returns milliseconds; infinite if that is not known
 	 */
 	contactAgeMs(): number;
-	/** Removes a member; resolves with whether this replica could. */
+	/** Removes a member; resolves with false if this replica cannot do so now. */
 	removeMember(id: MemberId): Promise<boolean>;
-	/** State of this replica. */
 	status(): ReplicaStatus;
 }
 
-/** Identifier of the replicated log. */
+/** Service identifier of the replicated log. */
 export const IAgreement = createServiceIdentifier<IAgreement>('agreement');
--- a/src/plugins/agreement/common/agreementCore.ts
+++ b/src/plugins/agreement/common/agreementCore.ts
@@ -3,11 +3,11 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The replicated log as a pure state machine: a message and a time in, effects out; no input or output of its own.
+ * The replicated log as a deterministic state machine: it takes messages and times, returns effects and does no I/O.
  *
- * Source of the protocol: D. Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote, leader lease and
- * change of one member at a time. What is added here is the incarnation: a replica whose disk was lost comes back under
- * another one, and a vote or an acknowledgement under an incarnation that is not in the list does not count.
+ * Implements Raft (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-votes, leader leases and
+ * single-member changes. In addition, replicas have incarnations: a replica that lost its disk rejoins under a new one,
+ * and votes and acknowledgements under an incarnation that is not in the member list do not count.
  */
 
 import type { Millis } from '../../../base/clock.js';
@@ -29,11 +29,11 @@
 import { Leadership } from './leadership.js';
 import { LogFollower } from './logFollower.js';
 import { MemberChanges } from './memberChanges.js';
-import { type ReplicaIdentity, type ReplicaStart, ReplicaState } from './replicaState.js';
+import { type ReplicaIdentity, type ReplicaOptions, ReplicaState } from './replicaState.js';
 
-export type { ReplicaIdentity, ReplicaStart } from './replicaState.js';
+export type { ReplicaIdentity, ReplicaOptions } from './replicaState.js';
 
-/** One replica of the log. */
+/** Protocol logic of a replica. */
 export class AgreementCore {
 	private readonly _state: ReplicaState;
 	private readonly _election: Election;
@@ -41,99 +41,101 @@
 	private readonly _leadership: Leadership;
 	private readonly _memberChanges: MemberChanges;
 
-	constructor(start: ReplicaStart) {
-		this._state = new ReplicaState(start);
+	constructor(options: ReplicaOptions) {
+		this._state = new ReplicaState(options);
 		this._follower = new LogFollower(this._state);
 		this._leadership = new Leadership(this._state);
-		this._memberChanges = new MemberChanges(this._state, this._leadership, start.isDiscovered ?? false);
+		this._memberChanges = new MemberChanges(this._state, this._leadership, options.hasDiscoveredMembers ?? false);
 		this._election = new Election(this._state, {
 			isLeaderAlive: now => this._isLeaderAlive(now),
-			onElected: now => this._leadership.begin(now)
+			onElected: now => this._leadership.becomeLeader(now)
 		});
 	}
 
-	/** Role at the moment. */
 	get role(): ReplicaRole {
 		return this._state.role;
 	}
 
-	/** Current term. */
 	get term(): number {
 		return this._state.term;
 	}
 
-	/** The leader this replica follows, itself included. */
+	/** Leader of the current term, possibly this replica; undefined if not known. */
 	get leader(): MemberId | undefined {
 		return this._state.leader;
 	}
 
-	/** The latest list of members. */
+	/** The latest member list, committed or not. */
 	get members(): readonly Member[] {
 		return this._state.members;
 	}
 
-	/** Last committed index known here. */
+	/** Last index known to this replica to be committed. */
 	get commitIndex(): LogIndex {
-		return this._state.commit;
+		return this._state.commitIndex;
 	}
 
-	/** Index of the last entry held. */
 	get lastIndex(): LogIndex {
 		return this._state.log.lastIndex;
 	}
 
-	/** Index that the last snapshot covers. */
+	/** Last index that the latest snapshot covers; 0 without a snapshot. */
 	get snapshotIndex(): LogIndex {
 		return this._state.log.baseIndex;
 	}
 
-	/** Whether this replica never held anything. */
+	/** Whether this replica's log is empty and has no snapshot. */
 	get isBlank(): boolean {
 		return this._state.log.isBlank;
 	}
 
-	/** Whether this replica is a voter under its present incarnation, as far as it knows. */
+	/** Whether the latest known member list has this replica, under its current incarnation, as a voter. */
 	get isVoter(): boolean {
 		return this._state.isVoter;
 	}
 
 	/**
-	 * Whether a leader may answer a read now: a quorum heard from it within the lease, in a term it has committed in.
-	 * @param trustedSince what a quorum heard before does not count: the clock may have stood still since
+	 * Whether this replica may answer reads: it is the leader, has committed an entry of its term, and had contact with a
+	 * quorum within the lease.
+	 * @param contactValidFrom contact before this time is ignored, as the machine may have been suspended since
 	 */
-	hasLease(now: Millis, trustedSince: Millis = Number.NEGATIVE_INFINITY): boolean {
-		if (this._state.role !== ReplicaRole.Leader || !this._leadership.hasCommitted) {
+	hasLease(now: Millis, contactValidFrom: Millis = Number.NEGATIVE_INFINITY): boolean {
+		if (this._state.role !== ReplicaRole.Leader || !this._leadership.hasCommittedInTerm) {
 			return false;
 		}
-		const contactAt = this._leadership.quorumContact(now);
-		return contactAt >= trustedSince && now - contactAt < this._state.timing.leaseMs;
+		const contactAt = this._leadership.lastQuorumContactAt(now);
+		return contactAt >= contactValidFrom && now - contactAt < this._state.timing.leaseMs;
 	}
 
 	/**
-	 * Time since this replica was last known to be current: by its quorum as a leader that has committed something in its term, otherwise
-	 * by such a leader's word on what is committed. Heartbeats alone say nothing: a replica that lacks entries goes on hearing them.
+	 * Time since this replica was last known to hold everything committed. For a leader that has committed an entry of its
+	 * term, the time since the last quorum contact. For any other replica, the time since it last held all that such a
+	 * leader reported as committed; heartbeats alone do not count, as a replica that lacks entries receives them too.
+	 * @returns infinite if that is not known
 	 */
 	contactAge(now: Millis): Millis {
 		if (this._state.role === ReplicaRole.Leader) {
-			return this._leadership.hasCommitted ? now - this._leadership.quorumContact(now) : Number.POSITIVE_INFINITY;
+			return this._leadership.hasCommittedInTerm
+				? now - this._leadership.lastQuorumContactAt(now)
+				: Number.POSITIVE_INFINITY;
 		}
-		return this._state.leader === undefined ? Number.POSITIVE_INFINITY : now - this._state.currentAt;
+		return this._state.leader === undefined ? Number.POSITIVE_INFINITY : now - this._state.lastCurrentAt;
 	}
 
-	/** Starts a system of one voter, this replica; the others join as learners. Only on a blank log. */
+	/** Initializes an empty log with this replica as the only voter; the other replicas join as learners. */
 	bootstrap(now: Millis): Effects {
 		const state = this._state;
 		if (!state.log.isBlank) {
-			throw new Error('only a blank replica can start a new system');
+			throw new Error('cannot bootstrap a replica whose log is not empty');
 		}
-		const founder: Member = { ...state.self, role: MemberRole.Voter };
+		const initialMember: Member = { ...state.self, role: MemberRole.Voter };
 		state.setTerm(1, state.self.id);
-		state.appendOwn([{ index: 1, term: 1, kind: EntryKind.Members, members: [founder] }]);
+		state.appendLocal([{ index: 1, term: 1, kind: EntryKind.Members, members: [initialMember] }]);
 		state.electionAt = now;
 		return state.takeEffects();
 	}
 
-	/** Lets time pass: heartbeats, elections, loss of the quorum. */
+	/** Sends due heartbeats, starts due elections and gives up leadership when the quorum is lost. */
 	tick(now: Millis): Effects {
 		const state = this._state;
 		if (state.role === ReplicaRole.Leader) {
@@ -144,13 +146,13 @@
 		return state.takeEffects();
 	}
 
-	/** Handles one message. */
+	/** Handles a message; one for another incarnation of this replica is ignored. */
 	receive(message: AgreementMessage, now: Millis): Effects {
 		const state = this._state;
 		if (message.toIncarnation !== '' && message.toIncarnation !== state.self.incarnation) {
 			return state.takeEffects();
 		}
-		if (message.term > state.term && this._raisesTerm(message, now)) {
+		if (message.term > state.term && this._shouldAdoptTerm(message, now)) {
 			state.becomeFollower(message.term, undefined, now);
 		}
 		switch (message.type) {
@@ -174,8 +176,8 @@
 	}
 
 	/**
-	 * Appends commands on the leader.
-	 * @returns the index of the first one, or undefined when this replica is not the leader
+	 * Appends commands to the log.
+	 * @returns the index of the first command, or undefined if this replica is not the leader
 	 */
 	propose(commands: readonly unknown[], now: Millis): { first: LogIndex; effects: Effects } | undefined {
 		const state = this._state;
@@ -183,29 +185,32 @@
 			return undefined;
 		}
 		const first = state.log.lastIndex + 1;
-		const entries = commands.map((command, i) => state.entry(first + i, EntryKind.Command, command));
-		state.appendOwn(entries);
+		const entries = commands.map((command, i) => state.createEntry(first + i, EntryKind.Command, command));
+		state.appendLocal(entries);
 		this._leadership.broadcast(now);
 		return { first, effects: state.takeEffects() };
 	}
 
-	/** A control instance asks to take part; a leader admits it as a learner when no other change is under way. */
-	join(newcomer: ReplicaIdentity, now: Millis): Effects {
-		this._memberChanges.admit(newcomer, now);
+	/** Handles a request to join; a leader admits the replica as a learner unless another member change is in progress. */
+	join(identity: ReplicaIdentity, now: Millis): Effects {
+		this._memberChanges.admit(identity, now);
 		return this._state.takeEffects();
 	}
 
-	/** Removes a member by an operator's word; returns false when this replica cannot do so now. */
+	/** Removes a member on an operator's request; `done` is false if this replica cannot do so now. */
 	removeMember(id: MemberId, now: Millis): { done: boolean; effects: Effects } {
 		const done = this._memberChanges.remove(id, now);
 		return { done, effects: this._state.takeEffects() };
 	}
 
-	/** The disk holds everything up to an index of the present log. */
+	/**
+	 * Reports that the log is synced up to an index.
+	 * @param term term of this replica at the write; ignored unless the entry at that index is of this term
+	 */
 	onPersisted(index: LogIndex, term: number, now: Millis): Effects {
 		const state = this._state;
 		if (state.log.termAt(index) === term) {
-			state.persisted = Math.max(state.persisted, index);
+			state.persistedIndex = Math.max(state.persistedIndex, index);
 		}
 		if (state.role === ReplicaRole.Leader) {
 			this._leadership.advanceCommit(now);
@@ -213,30 +218,33 @@
 		return state.takeEffects();
 	}
 
-	/** Replaces the log up to an applied index by a snapshot of the state. */
+	/** Replaces the entries up to an applied index with a snapshot. */
 	compact(index: LogIndex, data: Uint8Array): Snapshot {
-		const { log, delivered } = this._state;
-		if (index > delivered || index <= log.baseIndex) {
-			throw new Error(`cannot compact to ${index}: applied ${delivered}, base ${log.baseIndex}`);
+		const { log, deliveredIndex } = this._state;
+		if (index > deliveredIndex || index <= log.baseIndex) {
+			throw new Error(`cannot compact to ${index}: applied ${deliveredIndex}, base ${log.baseIndex}`);
 		}
 		const snapshot: Snapshot = { index, term: log.termAt(index)!, members: log.membersAt(index), data };
 		log.compact(snapshot);
 		return snapshot;
 	}
 
-	/** The entries after the snapshot, for writing a compacted file. */
+	/** Entries that follow the snapshot, to be written to the compacted file. */
 	entriesAfterSnapshot(): LogEntry[] {
 		const { log } = this._state;
 		return log.slice(log.baseIndex + 1, log.lastIndex);
 	}
 
-	/** The state to sync with a compacted file. */
+	/** Hard state to be written to the compacted file. */
 	get hardState(): HardState {
 		return this._state.hardState;
 	}
 
-	/** Whether a later term in a message is taken over: pre-votes, and votes under a leader that is well, raise none. */
-	private _raisesTerm(message: AgreementMessage, now: Millis): boolean {
+	/**
+	 * Whether the later term of a message is adopted. Pre-vote requests, granted pre-votes and vote requests during
+	 * contact with a live leader are excluded, so that a reconnected replica does not depose the leader.
+	 */
+	private _shouldAdoptTerm(message: AgreementMessage, now: Millis): boolean {
 		if (message.type === 'vote') {
 			return !message.pre && !this._isLeaderAlive(now);
 		}
@@ -244,9 +252,10 @@
 	}
 
 	private _isLeaderAlive(now: Millis): boolean {
-		const { role, heardLeaderAt, timing } = this._state;
-		const silence = role === ReplicaRole.Leader ? this._leadership.quorumSilence(now) : now - heardLeaderAt;
-		return silence < timing.electionMinMs;
+		const { role, lastLeaderContactAt, timing } = this._state;
+		const sinceContactMs =
+			role === ReplicaRole.Leader ? this._leadership.sinceQuorumContactMs(now) : now - lastLeaderContactAt;
+		return sinceContactMs < timing.electionMinMs;
 	}
 
 	private _tickLeader(now: Millis): void {
@@ -265,8 +274,8 @@
 		}
 		this._leadership.onReply(reply, member, now);
 		if (reply.accepted) {
-			this._memberChanges.promoteWholeLearner(now);
-			this._leadership.continueWith(member, now);
+			this._memberChanges.promoteCaughtUpLearner(now);
+			this._leadership.sendRemainingEntries(member, now);
 		}
 	}
 }
--- a/src/plugins/agreement/common/agreementTypes.ts
+++ b/src/plugins/agreement/common/agreementTypes.ts
@@ -6,42 +6,42 @@
 
 import type { Millis } from '../../../base/clock.js';
 
-/** Name of a control instance. */
+/** Unique id of a replica: the name of its control instance, or its peer address where members are discovered. */
 export type MemberId = string;
 
-/** Position in the replicated log, from 1; 0 means "before the first entry". */
+/** Position in the replicated log, starting at 1; 0 is the position before the first entry. */
 export type LogIndex = number;
 
-/** Whether a member's vote counts. */
+/** Whether a member counts towards the quorum. */
 export enum MemberRole {
 	Voter = 'voter',
 	Learner = 'learner'
 }
 
-/** One control instance as the log knows it. */
+/** A control instance in the replicated member list. */
 export interface Member {
 	readonly id: MemberId;
-	/** Changes when the instance lost its disk; a vote under another incarnation does not count. */
+	/** Identifies the disk contents; a replica that lost its disk gets a new one, and messages under any other do not count. */
 	readonly incarnation: string;
 	readonly address: string;
 	readonly role: MemberRole;
-	/** Data hall of the instance, where it is known. */
+	/** Data hall of the instance, if known. */
 	readonly hall?: string;
-	/** Index at which it was admitted; a later one in the same hall is a successor. */
+	/** Log index at which the member was admitted; a member admitted later in the same hall can replace it. */
 	readonly admittedAt?: LogIndex;
 }
 
-/** What an entry carries. */
+/** Type of a log entry. */
 export enum EntryKind {
-	/** First entry of a leader's term; it carries nothing. */
+	/** First entry of a leader's term, without a payload. */
 	NoOperation = 'noop',
 	/** A command for the replicated state. */
 	Command = 'command',
-	/** A new list of members; it counts from the moment it is appended. */
+	/** A new member list, in force as soon as it is appended. */
 	Members = 'members'
 }
 
-/** One entry of the replicated log. */
+/** An entry of the replicated log. */
 export interface LogEntry {
 	readonly index: LogIndex;
 	readonly term: number;
@@ -50,31 +50,31 @@
 	readonly members?: readonly Member[];
 }
 
-/** The part of a replica's state that must be synced before any answer that depends on it. */
+/** State that must be synced to disk before any message that depends on it is sent. */
 export interface HardState {
 	readonly term: number;
-	/** Whom this replica voted for in the term. */
+	/** Candidate that this replica voted for in the term. */
 	readonly votedFor?: MemberId;
 }
 
-/** Everything up to an index, in one piece. */
+/** The replicated state and the member list as of a log index. */
 export interface Snapshot {
 	readonly index: LogIndex;
 	readonly term: number;
 	readonly members: readonly Member[];
-	/** The replicated state, encoded. */
+	/** The replicated state, encoded with MessagePack. */
 	readonly data: Uint8Array;
 }
 
-/** One unit of durable writing; the parts take effect in the order cut, entries, hard state. */
+/** A record of the log file; its parts are applied in the order snapshot, truncation, entries, hard state. */
 export interface PersistRecord {
-	/** Entries from this index on are dropped first. */
+	/** Truncates the log: entries from this index on are removed before `entries` are appended. */
 	readonly cutFrom?: LogIndex;
 	readonly entries?: readonly LogEntry[];
 	readonly hardState?: HardState;
 	/** Replaces the whole log. */
 	readonly snapshot?: Snapshot;
-	/** What was known to be committed; written along with other records, and so a little behind. */
+	/** Last index known to be committed; written only together with other records, so it may lag behind. */
 	readonly commit?: LogIndex;
 }
 
@@ -82,12 +82,12 @@
 	readonly from: MemberId;
 	readonly fromIncarnation: string;
 	readonly to: MemberId;
-	/** Incarnation of the addressee as the sender knows it; empty in replies. */
+	/** Incarnation of the recipient as known to the sender; an empty one is accepted by any recipient. */
 	readonly toIncarnation: string;
 	readonly term: number;
 }
 
-/** Asks for a vote; with `pre` it only asks whether a vote would be given. */
+/** Requests a vote; with `pre` it only asks whether a vote would be granted. */
 export interface VoteRequest extends MessageHeader {
 	readonly type: 'vote';
 	readonly pre: boolean;
@@ -95,36 +95,36 @@
 	readonly lastTerm: number;
 }
 
-/** Answer to a `VoteRequest`. */
+/** Response to a `VoteRequest`. */
 export interface VoteReply extends MessageHeader {
 	readonly type: 'voteReply';
 	readonly pre: boolean;
 	readonly granted: boolean;
 }
 
-/** Entries after `prevIndex`, or a heartbeat when there are none. */
+/** Entries that follow `prevIndex`; without entries it is a heartbeat. */
 export interface AppendRequest extends MessageHeader {
 	readonly type: 'append';
 	readonly prevIndex: LogIndex;
 	readonly prevTerm: number;
 	readonly entries: readonly LogEntry[];
 	readonly commit: LogIndex;
-	/** The leader's monotonic clock at sending; it comes back in the reply and renews the leader's lease. */
+	/** Monotonic time of the leader when it sent the request; returned in the reply to renew the leader's lease. */
 	readonly sentAt: Millis;
 }
 
-/** Replaces the log of a replica that is too far behind. */
+/** Replaces the log of a replica that lacks entries which the leader has already compacted. */
 export interface SnapshotRequest extends MessageHeader {
 	readonly type: 'snapshot';
 	readonly snapshot: Snapshot;
 	readonly sentAt: Millis;
 }
 
-/** Answer to `AppendRequest` and `SnapshotRequest`. */
+/** Response to `AppendRequest` and `SnapshotRequest`. */
 export interface AppendReply extends MessageHeader {
 	readonly type: 'appendReply';
 	readonly accepted: boolean;
-	/** Accepted: the last index known to match, synced. Refused: where the leader should try next. */
+	/** If accepted, the last index that is synced and matches the leader's log; otherwise the index to retry after. */
 	readonly index: LogIndex;
 	readonly sentAt: Millis;
 }
@@ -132,7 +132,7 @@
 /** Any message between replicas. */
 export type AgreementMessage = VoteRequest | VoteReply | AppendRequest | SnapshotRequest | AppendReply;
 
-/** The role that a replica plays at a moment. */
+/** Current role of a replica in the protocol. */
 export enum ReplicaRole {
 	Follower = 'follower',
 	PreCandidate = 'pre-candidate',
@@ -140,28 +140,28 @@
 	Leader = 'leader'
 }
 
-/** What the task must do after a step of the core, in this order. */
+/** What the task must do after a step of the core, in the order of the fields. */
 export interface Effects {
-	/** Messages that need not wait for the disk. */
+	/** Messages that may be sent before `records` are synced. */
 	readonly earlyMessages: AgreementMessage[];
-	/** To be written and synced as one. */
+	/** Records to write with a single sync. */
 	readonly records: PersistRecord[];
-	/** Messages to send after the sync. */
+	/** Messages to send once `records` are synced. */
 	readonly messages: AgreementMessage[];
-	/** A snapshot to restore the state from, before `committed`. */
+	/** Snapshot to restore the replicated state from before `committed` is applied. */
 	restore?: Snapshot;
-	/** Entries to apply, in order. */
+	/** Committed entries to apply, in order. */
 	readonly committed: LogEntry[];
 }
 
-/** Time spans of the protocol, in milliseconds. */
+/** Intervals and timeouts of the protocol, in milliseconds. */
 export interface AgreementTiming {
 	readonly heartbeatMs: Millis;
-	/** Least time without a leader before an election; the greatest is twice that. */
+	/** Minimum election timeout; timeouts are drawn at random between this and twice this. */
 	readonly electionMinMs: Millis;
-	/** How long a leader may answer reads after a quorum heard from it; less than `electionMinMs`. */
+	/** How long after the last quorum contact a leader may answer reads; less than `electionMinMs`. */
 	readonly leaseMs: Millis;
 }
 
-/** Defaults that hold with 35 ms one way between regions. */
+/** Defaults for a one-way latency of 35 ms between regions. */
 export const DEFAULT_TIMING: AgreementTiming = { heartbeatMs: 100, electionMinMs: 600, leaseMs: 450 };
--- a/src/plugins/agreement/common/genesis.ts
+++ b/src/plugins/agreement/common/bootstrapState.ts
@@ -3,26 +3,26 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The first entry of a system whose instances learn of each other from seeds. Every seed writes the same entry on its
- * blank disk, so no instance has to found the system and none has to be up for another to begin: a majority of them does.
+ * Initial log of a system whose members are discovered from seeds. Every seed writes the same first entry to its empty
+ * disk, so no single instance has to bootstrap the system: any majority of the seeds can start it.
  */
 
 import { EntryKind, type HardState, type LogEntry, type Member, MemberRole } from './agreementTypes.js';
 
-/** Incarnation of a disk at the very first start. */
-export const FIRST_INCARNATION = 'first';
+/** Incarnation of every seed at the first start of the system. */
+export const INITIAL_INCARNATION = 'first';
 
-/** What a seed persists before it takes part. */
-export interface Genesis {
+/** What a seed writes to its disk before it takes part in the protocol. */
+export interface BootstrapState {
 	readonly entries: readonly LogEntry[];
 	readonly hardState: HardState;
 }
 
-/** @param seeds peer addresses of the seeds, alike on every instance at the first start */
-export function createGenesis(seeds: readonly string[]): Genesis {
+/** @param seeds peer addresses of the seeds; must be the same on every seed */
+export function createBootstrapState(seeds: readonly string[]): BootstrapState {
 	const members: Member[] = [...seeds].sort().map(address => ({
 		id: address,
-		incarnation: FIRST_INCARNATION,
+		incarnation: INITIAL_INCARNATION,
 		address,
 		role: MemberRole.Voter
 	}));
--- a/src/plugins/agreement/common/election.ts
+++ b/src/plugins/agreement/common/election.ts
@@ -2,22 +2,22 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Elections of one replica: pre-vote, vote, and what is answered to other candidates. */
+/** Leader election: the pre-votes and votes that a replica requests, and its responses to other candidates. */
 
 import type { Millis } from '../../../base/clock.js';
 import { ReplicaRole, type MemberId, type VoteReply, type VoteRequest } from './agreementTypes.js';
 import { quorumSize, votersOf } from './memberList.js';
 import type { ReplicaState } from './replicaState.js';
 
-/** What an election needs of the rest of the replica. */
+/** What an election needs from the rest of the replica. */
 export interface ElectionHost {
-	/** Whether a leader was heard from lately, so that no other one is wanted. */
+	/** Whether there was contact with a leader within the minimum election timeout, so that no vote is granted. */
 	isLeaderAlive(now: Millis): boolean;
-	/** A quorum has voted for this replica. */
+	/** Called when a quorum has voted for this replica. */
 	onElected(now: Millis): void;
 }
 
-/** The elections of one replica. */
+/** Runs the elections of a replica. */
 export class Election {
 	private _votes = new Set<MemberId>();
 
@@ -26,30 +26,30 @@
 		private readonly _host: ElectionHost
 	) {}
 
-	/** Asks whether an election would be won; a replica that is no voter asks nothing. */
+	/** Forgets the leader and requests pre-votes; a replica that is not a voter only resets its election timer. */
 	startPreVote(now: Millis): void {
 		const state = this._state;
 		state.leader = undefined;
 		if (!state.isVoter) {
-			state.postponeElection(now);
+			state.resetElectionTimer(now);
 			return;
 		}
-		state.repeatPreVote(now);
+		state.schedulePreVoteRetry(now);
 		state.role = ReplicaRole.PreCandidate;
 		this._requestVotes(true, now);
 	}
 
-	/** Answers a candidate. */
+	/** Responds to a candidate. */
 	onRequest(request: VoteRequest, now: Millis): void {
 		const state = this._state;
 		const granted =
-			this._isUpToDate(request) && this._isFree(request) && !state.log.isBlank && !this._host.isLeaderAlive(now);
+			this._isUpToDate(request) && this._canVoteFor(request) && !state.log.isBlank && !this._host.isLeaderAlive(now);
 		if (granted && !request.pre) {
 			state.setTerm(state.term, request.from);
-			state.postponeElection(now);
+			state.resetElectionTimer(now);
 		}
 		state.effects.messages.push({
-			...state.header(request.from, request.fromIncarnation),
+			...state.createHeader(request.from, request.fromIncarnation),
 			type: 'voteReply',
 			pre: request.pre,
 			granted,
@@ -57,7 +57,7 @@
 		});
 	}
 
-	/** Counts a vote for this replica. */
+	/** Counts a vote for this replica; ignores refusals and replies to earlier requests. */
 	onReply(reply: VoteReply, now: Millis): void {
 		const state = this._state;
 		const expectedRole = reply.pre ? ReplicaRole.PreCandidate : ReplicaRole.Candidate;
@@ -78,7 +78,7 @@
 		return request.lastIndex >= log.lastIndex;
 	}
 
-	private _isFree(request: VoteRequest): boolean {
+	private _canVoteFor(request: VoteRequest): boolean {
 		const { term, votedFor } = this._state;
 		if (request.pre) {
 			return request.term > term;
@@ -90,7 +90,7 @@
 		const state = this._state;
 		state.role = ReplicaRole.Candidate;
 		state.setTerm(state.term + 1, state.self.id);
-		state.repeatElection(now);
+		state.scheduleElectionRetry(now);
 		this._requestVotes(false, now);
 	}
 
@@ -100,7 +100,7 @@
 		for (const member of votersOf(state.members)) {
 			if (!state.isSelf(member)) {
 				state.effects.messages.push({
-					...state.header(member.id, member.incarnation),
+					...state.createHeader(member.id, member.incarnation),
 					type: 'vote',
 					pre,
 					term: pre ? state.term + 1 : state.term,
--- a/src/plugins/agreement/common/leaderGate.ts
+++ b/src/plugins/agreement/common/leaderGate.ts
@@ -2,25 +2,30 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Calls that only the leader answers: any control instance takes them and hands them on, once. */
+/** Peer calls that only the leader answers: any other control instance forwards them to the leader, once. */
 
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { UnaryMethod } from '../../../kernel/common/peerMethods.js';
 
-/** A request that can be handed to the leader. */
+/** A request that can be forwarded to the leader. */
 export interface LeaderRequest {
-	/** Set when one control instance hands the request to another. */
+	/** Set when a control instance forwards the request; it is not forwarded again. */
 	readonly isForwarded?: boolean;
 }
 
-/** Registers methods that the leader answers. */
+/** Registers peer methods that only the leader answers. */
 export interface ILeaderGate {
 	/**
-	 * @param onLeader answers on a leader with a lease
-	 * @param nobody the answer when there is no leader to be reached
+	 * @param onLeader answers the request on a leader that holds its lease
+	 * @param noLeaderResponse response if no other leader is known, the lease ended meanwhile, or the request was forwarded
+	 * already
 	 */
-	handle<Q extends LeaderRequest, S>(method: UnaryMethod<Q, S>, onLeader: (request: Q) => Promise<S>, nobody: S): void;
+	handle<Q extends LeaderRequest, S>(
+		method: UnaryMethod<Q, S>,
+		onLeader: (request: Q) => Promise<S>,
+		noLeaderResponse: S
+	): void;
 }
 
-/** Identifier of the leader gate. */
-export const ILeaderGate = createServiceIdentifier<ILeaderGate>('leaderGate');
+/** Service identifier of the leader forwarder. */
+export const ILeaderGate = createServiceIdentifier<ILeaderGate>('leaderForwarder');
--- a/src/plugins/agreement/common/logFollower.ts
+++ b/src/plugins/agreement/common/logFollower.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** How a replica takes over the log of its leader. */
+/** The follower's side of the replication: appends the leader's entries and installs its snapshots. */
 
 import type { Millis } from '../../../base/clock.js';
 import {
@@ -14,37 +14,37 @@
 } from './agreementTypes.js';
 import type { ReplicaState } from './replicaState.js';
 
-/** The follower's side of the replication. */
+/** Handles the requests of the leader. */
 export class LogFollower {
 	constructor(private readonly _state: ReplicaState) {}
 
-	/** Takes entries, or a heartbeat. */
+	/** Handles entries or a heartbeat. */
 	onAppend(request: AppendRequest, now: Millis): void {
 		if (!this._acceptLeader(request, now)) {
 			this._reply(request, false, 0);
 			return;
 		}
-		this._follow(request);
-		this._state.noteHeardCommit(request.commit, now);
+		this._appendEntries(request);
+		this._state.recordLeaderCommit(request.commit, now);
 	}
 
-	private _follow(request: AppendRequest): void {
+	private _appendEntries(request: AppendRequest): void {
 		const { log } = this._state;
 		if (request.prevIndex < log.baseIndex) {
-			this._reply(request, false, this._state.commit);
+			this._reply(request, false, this._state.commitIndex);
 			return;
 		}
 		if (log.termAt(request.prevIndex) !== request.prevTerm) {
 			this._reply(request, false, Math.min(request.prevIndex - 1, log.lastIndex));
 			return;
 		}
-		this._takeEntries(request.entries);
-		const matched = request.prevIndex + request.entries.length;
-		this._reply(request, true, matched);
-		this._state.deliver(Math.min(request.commit, matched));
+		this._appendMissingEntries(request.entries);
+		const lastMatchIndex = request.prevIndex + request.entries.length;
+		this._reply(request, true, lastMatchIndex);
+		this._state.commitUpTo(Math.min(request.commit, lastMatchIndex));
 	}
 
-	/** Takes a snapshot in place of entries that the leader no longer holds. */
+	/** Installs a snapshot, sent in place of entries that the leader has compacted; an outdated one is ignored. */
 	onSnapshot(request: SnapshotRequest, now: Millis): void {
 		const state = this._state;
 		if (!this._acceptLeader(request, now)) {
@@ -52,14 +52,14 @@
 			return;
 		}
 		const { snapshot } = request;
-		if (snapshot.index > state.commit) {
+		if (snapshot.index > state.commitIndex) {
 			state.log.reset(snapshot);
-			state.jumpTo(snapshot.index);
+			state.resetToSnapshot(snapshot.index);
 			state.effects.records.push({ snapshot, hardState: state.hardState });
 			state.effects.restore = snapshot;
 			state.effects.committed.length = 0;
 		}
-		this._reply(request, true, Math.min(state.commit, Math.max(snapshot.index, 0)));
+		this._reply(request, true, Math.min(state.commitIndex, Math.max(snapshot.index, 0)));
 	}
 
 	private _acceptLeader(message: AppendRequest | SnapshotRequest, now: Millis): boolean {
@@ -72,14 +72,14 @@
 		}
 		state.role = ReplicaRole.Follower;
 		state.leader = message.from;
-		state.heardLeaderAt = now;
-		state.postponeElection(now);
+		state.lastLeaderContactAt = now;
+		state.resetElectionTimer(now);
 		return true;
 	}
 
 	private _reply(request: AppendRequest | SnapshotRequest, accepted: boolean, index: LogIndex): void {
 		this._state.effects.messages.push({
-			...this._state.header(request.from, request.fromIncarnation),
+			...this._state.createHeader(request.from, request.fromIncarnation),
 			type: 'appendReply',
 			accepted,
 			index,
@@ -87,30 +87,30 @@
 		});
 	}
 
-	private _takeEntries(entries: readonly LogEntry[]): void {
+	private _appendMissingEntries(entries: readonly LogEntry[]): void {
 		const state = this._state;
-		const known = entries.findIndex(entry => state.log.termAt(entry.index) !== entry.term);
-		if (known < 0) {
+		const firstMissing = entries.findIndex(entry => state.log.termAt(entry.index) !== entry.term);
+		if (firstMissing < 0) {
 			return;
 		}
-		const fresh = entries.slice(known);
-		const cutFrom = this._cutFrom(fresh[0]!.index);
-		state.log.append(fresh);
-		state.effects.records.push({ cutFrom, entries: fresh });
+		const missingEntries = entries.slice(firstMissing);
+		const cutFrom = this._truncateFrom(missingEntries[0]!.index);
+		state.log.append(missingEntries);
+		state.effects.records.push({ cutFrom, entries: missingEntries });
 		state.refreshMembers();
 	}
 
-	/** Drops what stands from an index on; returns the index, or undefined where nothing stood there. */
-	private _cutFrom(first: LogIndex): LogIndex | undefined {
+	/** Removes the entries from an index on; returns the index, or undefined if there were none. */
+	private _truncateFrom(first: LogIndex): LogIndex | undefined {
 		const state = this._state;
 		if (first > state.log.lastIndex) {
 			return undefined;
 		}
-		if (first <= state.commit) {
-			throw new Error(`a committed entry would be dropped at ${first}, committed ${state.commit}`);
+		if (first <= state.commitIndex) {
+			throw new Error(`cannot truncate the log from ${first}: committed up to ${state.commitIndex}`);
 		}
-		state.log.cutFrom(first);
-		state.persisted = Math.min(state.persisted, first - 1);
+		state.log.truncateFrom(first);
+		state.persistedIndex = Math.min(state.persistedIndex, first - 1);
 		return first;
 	}
 }
--- a/src/plugins/agreement/common/memberChanges.ts
+++ b/src/plugins/agreement/common/memberChanges.ts
@@ -2,92 +2,99 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** How a leader changes the list of members: one member at a time, each change committed before the next. */
+/** Member changes by the leader: one member at a time, each change committed before the next. */
 
 import type { Millis } from '../../../base/clock.js';
 import { EntryKind, type Member, type MemberId, MemberRole, ReplicaRole } from './agreementTypes.js';
 import type { Leadership } from './leadership.js';
-import { admitLearner, findReplaced, promote, remove, targetVoterCount, votersOf } from './memberList.js';
+import {
+	admitLearner,
+	findReplacedMember,
+	promoteLearner,
+	withoutMember,
+	desiredVoterCount,
+	votersOf
+} from './memberList.js';
 import type { ReplicaIdentity, ReplicaState } from './replicaState.js';
 
-/** The leader's changes of the list of members. */
+/** Admits, promotes and removes members while this replica is the leader. */
 export class MemberChanges {
-	/** @param _isDiscovered see {@link ReplicaStart} */
+	/** @param _hasDiscoveredMembers see `ReplicaOptions.hasDiscoveredMembers` */
 	constructor(
 		private readonly _state: ReplicaState,
 		private readonly _leadership: Leadership,
-		private readonly _isDiscovered: boolean
+		private readonly _hasDiscoveredMembers: boolean
 	) {}
 
-	/** Promotes and removes whom time has made ready for it. */
+	/** Promotes a learner or removes a replaced member, if one is due. */
 	tick(now: Millis): void {
-		this.promoteWholeLearner(now);
+		this.promoteCaughtUpLearner(now);
 		this._removeReplaced(now);
 	}
 
-	/** Admits a newcomer as a learner when no other change is under way. */
-	admit(newcomer: ReplicaIdentity, now: Millis): void {
-		if (!this._isPossible()) {
+	/** Admits a replica as a learner unless another member change is in progress. */
+	admit(identity: ReplicaIdentity, now: Millis): void {
+		if (!this._canChangeMembers()) {
 			return;
 		}
 		const admittedAt = this._state.log.lastIndex + 1;
-		const changed = admitLearner(this._state.members, { ...newcomer, admittedAt });
+		const changed = admitLearner(this._state.members, { ...identity, admittedAt });
 		if (changed) {
-			this._leadership.progress.forget(newcomer.id);
-			this._change(changed, now);
+			this._leadership.progress.remove(identity.id);
+			this._appendMembers(changed, now);
 		}
 	}
 
-	/** Removes a member; returns false when that can't be done here and now. */
+	/** Removes a member other than the leader itself; returns false if this replica cannot do so now. */
 	remove(id: MemberId, now: Millis): boolean {
 		const { members, self } = this._state;
-		const isPossible = this._isPossible() && id !== self.id && members.some(member => member.id === id);
-		if (isPossible) {
-			this._change(remove(members, id), now);
-			this._leadership.progress.forget(id);
+		const canRemove = this._canChangeMembers() && id !== self.id && members.some(member => member.id === id);
+		if (canRemove) {
+			this._appendMembers(withoutMember(members, id), now);
+			this._leadership.progress.remove(id);
 		}
-		return isPossible;
+		return canRemove;
 	}
 
-	/** A learner votes only once it holds, synced, everything that is committed. */
-	promoteWholeLearner(now: Millis): void {
+	/** Promotes a learner to a voter once it has synced everything committed, if another voter is wanted. */
+	promoteCaughtUpLearner(now: Millis): void {
 		const { members } = this._state;
-		const wanted = this._isDiscovered ? targetVoterCount(members) : members.length;
-		if (!this._isPossible() || votersOf(members).length >= wanted) {
+		const desiredVoters = this._hasDiscoveredMembers ? desiredVoterCount(members) : members.length;
+		if (!this._canChangeMembers() || votersOf(members).length >= desiredVoters) {
 			return;
 		}
 		const isReady = (member: Member): boolean =>
-			member.role === MemberRole.Learner && this._leadership.isWhole(member, now);
-		const whole = members.find(isReady);
-		if (whole) {
-			this._change(promote(members, whole.id), now);
+			member.role === MemberRole.Learner && this._leadership.isCaughtUp(member, now);
+		const learner = members.find(isReady);
+		if (learner) {
+			this._appendMembers(promoteLearner(members, learner.id), now);
 		}
 	}
 
-	/** Removes a member that fell silent and whose successor, of the same data hall, holds everything committed. */
+	/** Removes an unresponsive member that has a caught-up successor in the same data hall. */
 	private _removeReplaced(now: Millis): void {
-		if (!this._isDiscovered || !this._isPossible()) {
+		if (!this._hasDiscoveredMembers || !this._canChangeMembers()) {
 			return;
 		}
-		const replaced = findReplaced(
+		const replaced = findReplacedMember(
 			this._state.members,
-			member => this._leadership.isSilent(member, now),
-			member => this._leadership.isWhole(member, now)
+			member => this._leadership.isUnresponsive(member, now),
+			member => this._leadership.isCaughtUp(member, now)
 		);
 		if (replaced) {
-			this._change(remove(this._state.members, replaced.id), now);
-			this._leadership.progress.forget(replaced.id);
+			this._appendMembers(withoutMember(this._state.members, replaced.id), now);
+			this._leadership.progress.remove(replaced.id);
 		}
 	}
 
-	private _isPossible(): boolean {
-		const { role, commit, membersIndex } = this._state;
-		return role === ReplicaRole.Leader && commit >= membersIndex && this._leadership.hasCommitted;
+	private _canChangeMembers(): boolean {
+		const { role, commitIndex, membersIndex } = this._state;
+		return role === ReplicaRole.Leader && commitIndex >= membersIndex && this._leadership.hasCommittedInTerm;
 	}
 
-	private _change(members: readonly Member[], now: Millis): void {
+	private _appendMembers(members: readonly Member[], now: Millis): void {
 		const { log, term } = this._state;
-		this._state.appendOwn([{ index: log.lastIndex + 1, term, kind: EntryKind.Members, members }]);
+		this._state.appendLocal([{ index: log.lastIndex + 1, term, kind: EntryKind.Members, members }]);
 		this._leadership.broadcast(now);
 	}
 }
--- a/src/plugins/agreement/common/memberList.ts
+++ b/src/plugins/agreement/common/memberList.ts
@@ -2,23 +2,23 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Decisions about the list of members: quorum, replacement and promotion, one member at a time. */
+/** Pure functions on the member list: quorum, admission, promotion and replacement. */
 
 import { type Member, type MemberId, MemberRole } from './agreementTypes.js';
 
-/** The members whose votes count. */
+/** The members that count towards the quorum. */
 export function votersOf(members: readonly Member[]): Member[] {
 	return members.filter(member => member.role === MemberRole.Voter);
 }
 
-/** How many votes decide. */
+/** Number of voters that form a quorum. */
 export function quorumSize(members: readonly Member[]): number {
 	return Math.floor(votersOf(members).length / 2) + 1;
 }
 
 /**
- * The highest value that a quorum of voters has reached.
- * @param valueOf the value of one voter, such as its last synced index
+ * The highest value that a quorum of voters has reached or exceeded; 0 without voters.
+ * @param valueOf value of a voter, such as its last synced index
  */
 export function quorumValue(members: readonly Member[], valueOf: (member: Member) => number): number {
 	const values = votersOf(members)
@@ -33,71 +33,70 @@
 }
 
 /**
- * The list in which a newcomer, or a member that lost its disk, is a learner.
- * @returns undefined when nothing changes, or when the change would leave fewer voters than a majority of all members:
- * then a second loss right after the first could forget what was committed
+ * The member list with a new replica, or a member that lost its disk, as a learner. A member that kept its disk stays a
+ * voter and only gets its new address or data hall.
+ * @returns undefined if nothing changes, or if fewer voters than a majority of the desired ones would remain: losing
+ * another disk could then lose committed entries
  */
-export function admitLearner(members: readonly Member[], newcomer: Omit<Member, 'role'>): Member[] | undefined {
-	const { id, incarnation, address } = newcomer;
-	const known = members.find(member => member.id === id);
-	const isSameDisk = known?.incarnation === incarnation && known.address === address;
-	if (isSameDisk && (newcomer.hall === undefined || newcomer.hall === known.hall)) {
+export function admitLearner(members: readonly Member[], replica: Omit<Member, 'role'>): Member[] | undefined {
+	const { id, incarnation, address } = replica;
+	const existing = members.find(member => member.id === id);
+	const isSameDisk = existing?.incarnation === incarnation && existing.address === address;
+	if (isSameDisk && (replica.hall === undefined || replica.hall === existing.hall)) {
 		return undefined;
 	}
 	if (isSameDisk) {
-		return withMember(members, { ...known, hall: newcomer.hall });
+		return withMember(members, { ...existing, hall: replica.hall });
 	}
-	const changed = withMember(members, { ...newcomer, role: MemberRole.Learner });
-	const wasVoter = known?.role === MemberRole.Voter;
-	const majority = Math.floor(targetVoterCount(changed) / 2) + 1;
-	if (wasVoter && known.incarnation === incarnation) {
-		return withMember(members, { ...known, address });
+	const changedMembers = withMember(members, { ...replica, role: MemberRole.Learner });
+	const wasVoter = existing?.role === MemberRole.Voter;
+	const majority = Math.floor(desiredVoterCount(changedMembers) / 2) + 1;
+	if (wasVoter && existing.incarnation === incarnation) {
+		return withMember(members, { ...existing, address });
 	}
-	if (wasVoter && votersOf(changed).length < majority) {
+	if (wasVoter && votersOf(changedMembers).length < majority) {
 		return undefined;
 	}
-	return changed;
+	return changedMembers;
 }
 
-/** The list in which a learner has become a voter. */
-export function promote(members: readonly Member[], id: MemberId): Member[] {
+/** The member list with a learner promoted to a voter. */
+export function promoteLearner(members: readonly Member[], id: MemberId): Member[] {
 	const learner = members.find(member => member.id === id);
 	return learner ? withMember(members, { ...learner, role: MemberRole.Voter }) : [...members];
 }
 
 /**
- * How many members should vote: all of an odd number, all but one of an even one. An even number of votes costs one more
- * of them and bears no further loss, and cut into halves it has no majority on either side.
+ * Number of members that should be voters: all of an odd number, all but one of an even one. An even number of voters
+ * needs a larger quorum without tolerating more failures, and has no quorum when partitioned into halves.
  */
-export function targetVoterCount(members: readonly Member[]): number {
+export function desiredVoterCount(members: readonly Member[]): number {
 	return members.length % 2 === 1 ? members.length : members.length - 1;
 }
 
 /**
- * A member that has a successor: a later one of its data hall that is whole, while it is silent itself.
- * @param isSilent whether the leader has not heard from a member for long
- * @param isWhole whether a member holds everything committed
- * @returns the member to remove, only if the remaining voters that are heard still make a quorum
+ * Finds an unresponsive member that has a successor: a caught-up member of the same data hall that was admitted later.
+ * @returns the member to remove; undefined if the responsive voters among the others would not form a quorum
  */
-export function findReplaced(
+export function findReplacedMember(
 	members: readonly Member[],
-	isSilent: (member: Member) => boolean,
-	isWhole: (member: Member) => boolean
+	isUnresponsive: (member: Member) => boolean,
+	isCaughtUp: (member: Member) => boolean
 ): Member | undefined {
 	const replaced = members.find(member => {
 		const isSuccessor = (other: Member): boolean =>
-			other.hall === member.hall && (other.admittedAt ?? 0) > (member.admittedAt ?? 0) && isWhole(other);
-		return member.hall !== undefined && isSilent(member) && members.some(isSuccessor);
+			other.hall === member.hall && (other.admittedAt ?? 0) > (member.admittedAt ?? 0) && isCaughtUp(other);
+		return member.hall !== undefined && isUnresponsive(member) && members.some(isSuccessor);
 	});
 	if (!replaced) {
 		return undefined;
 	}
-	const rest = remove(members, replaced.id);
-	const heard = votersOf(rest).filter(member => !isSilent(member)).length;
-	return heard >= quorumSize(rest) ? replaced : undefined;
+	const remaining = withoutMember(members, replaced.id);
+	const responsiveVoters = votersOf(remaining).filter(member => !isUnresponsive(member)).length;
+	return responsiveVoters >= quorumSize(remaining) ? replaced : undefined;
 }
 
-/** The list without a member. */
-export function remove(members: readonly Member[], id: MemberId): Member[] {
+/** The member list with a member removed. */
+export function withoutMember(members: readonly Member[], id: MemberId): Member[] {
 	return members.filter(member => member.id !== id);
 }
--- a/src/plugins/agreement/common/memberProgress.ts
+++ b/src/plugins/agreement/common/memberProgress.ts
@@ -2,71 +2,70 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What a leader knows of the other members: how far each one's log is, and when it was last heard. */
+/** Replication progress of the other members, as known to the leader. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { LogIndex, Member, MemberId } from './agreementTypes.js';
 
-/** A member that did not answer for this long may be removed for its successor. */
-const SILENT_MEMBER_MS = 2500;
+/** A member that has not responded for this long counts as unresponsive and may be replaced by its successor. */
+const MEMBER_TIMEOUT_MS = 2500;
 
-/** One member as the leader knows it. */
+/** Replication progress of a member. */
 export interface Progress {
-	/** Last index known to be synced there. */
-	match: LogIndex;
-	/** Next index to send. */
-	next: LogIndex;
-	/** Sending time of the latest message that was acknowledged. */
+	/** Last index that the member is known to have synced. */
+	matchIndex: LogIndex;
+	/** Next index to send to the member. */
+	nextIndex: LogIndex;
+	/** Sending time of the latest message that the member has acknowledged. */
 	acknowledgedAt: Millis;
-	/** When a snapshot was last sent; undefined when none is on the way. */
+	/** When a snapshot was last sent; undefined if none is in transit. */
 	snapshotSentAt?: Millis;
 }
 
-/** The members' progress in one term. */
+/** Replication progress of the members in one term. */
 export class MemberProgress {
 	private readonly _byMember = new Map<MemberId, Progress>();
 
-	/** Forgets everything, as a new term begins. */
+	/** Removes all members when a new term begins. */
 	clear(): void {
 		this._byMember.clear();
 	}
 
-	/** Forgets one member. */
-	forget(id: MemberId): void {
+	remove(id: MemberId): void {
 		this._byMember.delete(id);
 	}
 
 	/**
-	 * The progress of a member.
-	 * @param nextIndex what to send first to one that is not known yet
+	 * Returns the progress of a member; creates it if missing.
+	 * @param initialNextIndex next index of a member that has no progress yet
 	 */
-	of(member: Member, nextIndex: LogIndex): Progress {
+	getOrCreate(member: Member, initialNextIndex: LogIndex): Progress {
 		let progress = this._byMember.get(member.id);
 		if (!progress) {
-			progress = { match: 0, next: nextIndex, acknowledgedAt: Number.NEGATIVE_INFINITY };
+			progress = { matchIndex: 0, nextIndex: initialNextIndex, acknowledgedAt: Number.NEGATIVE_INFINITY };
 			this._byMember.set(member.id, progress);
 		}
 		return progress;
 	}
 
-	/** Last index known to be synced at a member. */
-	matchOf(member: Member): LogIndex {
-		return this._byMember.get(member.id)?.match ?? 0;
+	/** Last index that a member is known to have synced; 0 if none is. */
+	matchIndexOf(member: Member): LogIndex {
+		return this._byMember.get(member.id)?.matchIndex ?? 0;
 	}
 
-	/** When a member was last heard. */
-	heardAt(member: Member): Millis {
+	/** Sending time of the latest message that a member has acknowledged. */
+	lastContactAt(member: Member): Millis {
 		return this._byMember.get(member.id)?.acknowledgedAt ?? Number.NEGATIVE_INFINITY;
 	}
 
-	/** Whether a member has not answered for long, counted from the beginning of the term at the earliest. */
-	isSilent(member: Member, leaderSince: Millis, now: Millis): boolean {
-		return now - Math.max(this.heardAt(member), leaderSince) > SILENT_MEMBER_MS;
+	/** Whether a member has not responded within the member timeout, which starts at the election at the earliest. */
+	isUnresponsive(member: Member, electedAt: Millis, now: Millis): boolean {
+		return now - Math.max(this.lastContactAt(member), electedAt) > MEMBER_TIMEOUT_MS;
 	}
 
-	/** Whether a member answers and holds, synced, everything up to an index. */
-	isWhole(member: Member, commit: LogIndex, leaderSince: Millis, now: Millis): boolean {
+	/** Whether a member responds and has synced everything up to the commit index. */
+	isCaughtUp(member: Member, commitIndex: LogIndex, electedAt: Millis, now: Millis): boolean {
 		const isKnown = this._byMember.has(member.id);
-		return isKnown && this.matchOf(member) >= commit && !this.isSilent(member, leaderSince, now);
+		return isKnown && this.matchIndexOf(member) >= commitIndex && !this.isUnresponsive(member, electedAt, now);
 	}
 }
--- a/src/plugins/agreement/common/memoryLog.ts
+++ b/src/plugins/agreement/common/memoryLog.ts
@@ -2,19 +2,19 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The replicated log in memory: entries after the last snapshot. */
+/** The replicated log in memory: the last snapshot and the entries that follow it. */
 
 import { type LogEntry, type LogIndex, type Member, type Snapshot } from './agreementTypes.js';
 
-/** What a replica finds on its disk when it starts. */
+/** Log read from disk when a replica starts. */
 export interface StoredLog {
-	/** Index up to which entries are known to be committed; absent where none was written. */
+	/** Last index known to be committed; undefined if none was written. */
 	readonly commit?: LogIndex;
 	readonly snapshot?: Snapshot;
 	readonly entries: readonly LogEntry[];
 }
 
-/** Entries after a snapshot, with the index arithmetic in one place. */
+/** The last snapshot and the entries that follow it, addressed by log index. */
 export class MemoryLog {
 	private _snapshot?: Snapshot;
 	private _entries: LogEntry[];
@@ -24,32 +24,31 @@
 		this._entries = [...stored.entries];
 	}
 
-	/** The snapshot that the log begins after. */
 	get snapshot(): Snapshot | undefined {
 		return this._snapshot;
 	}
 
-	/** Index of the entry before the first one held. */
+	/** Index before the first entry in memory: the index of the snapshot, or 0. */
 	get baseIndex(): LogIndex {
 		return this._snapshot?.index ?? 0;
 	}
 
-	/** Index of the last entry. */
+	/** Index of the last entry, or of the snapshot if no entries follow it. */
 	get lastIndex(): LogIndex {
 		return this.baseIndex + this._entries.length;
 	}
 
-	/** Term of the last entry. */
+	/** Term at `lastIndex`. */
 	get lastTerm(): number {
 		return this.termAt(this.lastIndex) ?? 0;
 	}
 
-	/** Whether nothing was ever written. */
+	/** Whether there is neither a snapshot nor an entry. */
 	get isBlank(): boolean {
 		return this.lastIndex === 0;
 	}
 
-	/** Term of the entry at an index; undefined when it is not held. */
+	/** Term of the entry at an index; undefined if the entry is not in memory. */
 	termAt(index: LogIndex): number | undefined {
 		if (index === this.baseIndex) {
 			return this._snapshot?.term ?? 0;
@@ -57,13 +56,13 @@
 		return this._entries[index - this.baseIndex - 1]?.term;
 	}
 
-	/** Entries from an index on, at most `limit`. */
+	/** Returns up to `limit` entries, starting at an index. */
 	slice(from: LogIndex, limit: number): LogEntry[] {
 		const start = from - this.baseIndex - 1;
 		return this._entries.slice(start, start + limit);
 	}
 
-	/** Appends entries that follow the last one. */
+	/** Appends entries, whose indices must continue the log. */
 	append(entries: readonly LogEntry[]): void {
 		for (const entry of entries) {
 			if (entry.index !== this.lastIndex + 1) {
@@ -73,24 +72,24 @@
 		}
 	}
 
-	/** Drops the entries from an index on. */
-	cutFrom(index: LogIndex): void {
+	/** Removes the entries from an index on. */
+	truncateFrom(index: LogIndex): void {
 		this._entries.length = index - this.baseIndex - 1;
 	}
 
-	/** Takes a snapshot that covers entries held here, and drops them. */
+	/** Removes the entries that a snapshot covers and keeps the rest. */
 	compact(snapshot: Snapshot): void {
 		this._entries = this._entries.slice(snapshot.index - this.baseIndex);
 		this._snapshot = snapshot;
 	}
 
-	/** Replaces everything by a snapshot. */
+	/** Replaces the whole log with a snapshot. */
 	reset(snapshot: Snapshot): void {
 		this._snapshot = snapshot;
 		this._entries = [];
 	}
 
-	/** The latest list of members, committed or not, and where it stands. */
+	/** The latest member list, committed or not, and the index of its entry or snapshot. */
 	latestMembers(): { members: readonly Member[]; index: LogIndex } {
 		for (let i = this._entries.length - 1; i >= 0; i--) {
 			const entry = this._entries[i]!;
@@ -101,7 +100,7 @@
 		return { members: this._snapshot?.members ?? [], index: this.baseIndex };
 	}
 
-	/** The list of members in force at an index that is held. */
+	/** The member list in force at an index that is in memory. */
 	membersAt(index: LogIndex): readonly Member[] {
 		for (let i = index - this.baseIndex - 1; i >= 0; i--) {
 			const members = this._entries[i]?.members;
--- a/src/plugins/agreement/common/replicaState.ts
+++ b/src/plugins/agreement/common/replicaState.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the parts of one replica share: identity, term, log, members, and the effects of the step under way. */
+/** State shared by the parts of a replica: identity, term, log, members and the effects of the current step. */
 
 import type { Millis } from '../../../base/clock.js';
 import {
@@ -19,7 +19,7 @@
 } from './agreementTypes.js';
 import { MemoryLog, type StoredLog } from './memoryLog.js';
 
-/** Who this replica is. */
+/** Identity and address of a replica. */
 export interface ReplicaIdentity {
 	readonly id: MemberId;
 	readonly incarnation: string;
@@ -27,137 +27,135 @@
 	readonly hall?: string;
 }
 
-/** What a replica starts from. */
-export interface ReplicaStart {
+/** Options of a replica. */
+export interface ReplicaOptions {
 	readonly identity: ReplicaIdentity;
 	readonly timing: AgreementTiming;
 	readonly hardState: HardState;
 	readonly log: StoredLog;
-	/** Random numbers in [0, 1), for election timeouts. */
+	/** Returns a random number in [0, 1), for election timeouts. */
 	readonly random: () => number;
 	readonly now: Millis;
 	/**
-	 * When the process began, if that was before now. Whatever this replica promised to a leader it promised before that,
-	 * so the time counts towards the silence after which another leader may be elected.
+	 * When the process started, if before `now`. This replica acknowledged no leader after that, so the first election
+	 * timeout is counted from then.
 	 */
 	readonly startedAt?: Millis;
 	/**
-	 * Whether the members were learned rather than listed: then the leader itself removes one whose successor has joined,
-	 * and keeps the number of voters odd.
+	 * Whether members are discovered from seeds instead of listed in the settings. The leader then removes unresponsive
+	 * members that have a successor and keeps the number of voters odd.
 	 */
-	readonly isDiscovered?: boolean;
+	readonly hasDiscoveredMembers?: boolean;
 }
 
 /**
- * Least time between two pre-votes of one replica, the greatest is twice that: longer than an answer takes from another
- * region, and short against an election, for after a common start the others come up one by one.
+ * Minimum time between two pre-votes of a replica; the maximum is twice that. Longer than a round trip between regions,
+ * but short compared with an election timeout, as replicas that are started together become reachable one by one.
  */
-const PRE_VOTE_REPEAT_MS = 120;
+const MIN_PRE_VOTE_INTERVAL_MS = 120;
 
-/** The same between two elections of one replica: the votes of the first must have had time to be synced and to come. */
-const ELECTION_REPEAT_MS = 250;
+/** Minimum time between two elections of a replica; the maximum is twice that. Covers the sync and the delivery of votes. */
+const MIN_ELECTION_RETRY_MS = 250;
 
 function noEffects(): Effects {
 	return { earlyMessages: [], records: [], messages: [], committed: [] };
 }
 
-/** The state that the parts of a replica share. */
+/** State shared by the parts of a replica. */
 export class ReplicaState {
 	readonly self: ReplicaIdentity;
 	readonly timing: AgreementTiming;
 	readonly log: MemoryLog;
 	role = ReplicaRole.Follower;
-	/** The leader this replica follows, itself included. */
+	/** Leader of the current term, possibly this replica; undefined if not known. */
 	leader?: MemberId;
-	/** When the leader of the term was last heard. */
-	heardLeaderAt: Millis;
-	/** When this replica last held all that its leader knew to be committed. */
-	currentAt: Millis = Number.NEGATIVE_INFINITY;
-	/** When an election begins unless a leader is heard before. */
+	/** Time of the last request from a leader, initially the start of the process. */
+	lastLeaderContactAt: Millis;
+	/** When this replica last held everything that its leader reported as committed. */
+	lastCurrentAt: Millis = Number.NEGATIVE_INFINITY;
+	/** When the next election is due unless a leader sends a request before. */
 	electionAt: Millis;
-	/** Last index of this replica's own log that its disk holds. */
-	persisted: LogIndex;
-	/** Effects of the step under way. */
+	/** Last index that this replica has synced to disk, as reported by `onPersisted`. */
+	persistedIndex: LogIndex;
+	/** Effects of the current step. */
 	effects = noEffects();
 	private readonly _random: () => number;
 	private _term: number;
 	private _votedFor?: MemberId;
 	private _members: readonly Member[] = [];
 	private _membersIndex: LogIndex = 0;
-	private _commit: LogIndex;
-	private _delivered: LogIndex;
-	/** The highest index that a leader said to be committed. */
-	private _heardCommit: LogIndex = 0;
-
-	constructor(start: ReplicaStart) {
-		this.self = start.identity;
-		this.timing = start.timing;
-		this._random = start.random;
-		this.log = new MemoryLog(start.log);
-		this._term = start.hardState.term;
-		this._votedFor = start.hardState.votedFor;
-		this._commit = this.log.baseIndex;
-		this._delivered = this.log.baseIndex;
-		this.persisted = this.log.lastIndex;
-		this.heardLeaderAt = start.startedAt ?? start.now;
-		this.electionAt = start.now;
+	private _commitIndex: LogIndex;
+	private _deliveredIndex: LogIndex;
+	/** Highest index that any leader has reported as committed. */
+	private _leaderCommitIndex: LogIndex = 0;
+
+	constructor(options: ReplicaOptions) {
+		this.self = options.identity;
+		this.timing = options.timing;
+		this._random = options.random;
+		this.log = new MemoryLog(options.log);
+		this._term = options.hardState.term;
+		this._votedFor = options.hardState.votedFor;
+		this._commitIndex = this.log.baseIndex;
+		this._deliveredIndex = this.log.baseIndex;
+		this.persistedIndex = this.log.lastIndex;
+		this.lastLeaderContactAt = options.startedAt ?? options.now;
+		this.electionAt = options.now;
 		this.refreshMembers();
-		this.repeatPreVote(this.heardLeaderAt + this.timing.electionMinMs);
-		this.deliver(Math.min(start.log.commit ?? 0, this.log.lastIndex));
+		this.schedulePreVoteRetry(this.lastLeaderContactAt + this.timing.electionMinMs);
+		this.commitUpTo(Math.min(options.log.commit ?? 0, this.log.lastIndex));
 	}
 
-	/** Current term. */
 	get term(): number {
 		return this._term;
 	}
 
-	/** Whom this replica voted for in the term. */
+	/** Candidate that this replica voted for in the current term. */
 	get votedFor(): MemberId | undefined {
 		return this._votedFor;
 	}
 
-	/** The state to sync before any answer that depends on it. */
+	/** State that must be synced before any message that depends on it is sent. */
 	get hardState(): HardState {
 		return { term: this._term, votedFor: this._votedFor };
 	}
 
-	/** The latest list of members, committed or not. */
+	/** The latest member list, committed or not. */
 	get members(): readonly Member[] {
 		return this._members;
 	}
 
-	/** Index of the entry with that list. */
+	/** Index of the entry or snapshot with the latest member list. */
 	get membersIndex(): LogIndex {
 		return this._membersIndex;
 	}
 
-	/** Last committed index known here. */
-	get commit(): LogIndex {
-		return this._commit;
+	/** Last index known to this replica to be committed. */
+	get commitIndex(): LogIndex {
+		return this._commitIndex;
 	}
 
-	/** Last index handed out to be applied. */
-	get delivered(): LogIndex {
-		return this._delivered;
+	/** Last index that was added to `effects.committed` or replaced by a snapshot. */
+	get deliveredIndex(): LogIndex {
+		return this._deliveredIndex;
 	}
 
-	/** Whether a member is this replica under its present incarnation. */
+	/** Whether a member is this replica under its current incarnation. */
 	isSelf(member: Member): boolean {
 		return member.id === this.self.id && member.incarnation === this.self.incarnation;
 	}
 
-	/** Whether this replica is a voter under its present incarnation, as far as it knows. */
+	/** Whether the latest known member list has this replica, under its current incarnation, as a voter. */
 	get isVoter(): boolean {
 		return this._members.some(member => this.isSelf(member) && member.role === MemberRole.Voter);
 	}
 
-	/** A member by id and incarnation. */
 	findMember(id: MemberId, incarnation: string): Member | undefined {
 		return this._members.find(member => member.id === id && member.incarnation === incarnation);
 	}
 
-	/** The fields that every message begins with. */
-	header(to: MemberId, toIncarnation: string) {
+	/** Creates the fields common to all messages. */
+	createHeader(to: MemberId, toIncarnation: string) {
 		return {
 			from: this.self.id,
 			fromIncarnation: this.self.incarnation,
@@ -167,93 +165,92 @@
 		};
 	}
 
-	/** An entry of this term. */
-	entry(index: LogIndex, kind: EntryKind, command?: unknown): LogEntry {
+	/** Creates an entry of the current term. */
+	createEntry(index: LogIndex, kind: EntryKind, command?: unknown): LogEntry {
 		return { index, term: this._term, kind, command };
 	}
 
-	/** Enters a term; it is written before anything that depends on it is sent. */
+	/** Sets the term and the vote, and adds the record that persists them. */
 	setTerm(term: number, votedFor?: MemberId): void {
 		if (term < this._term) {
-			throw new Error(`term goes back from ${this._term} to ${term}`);
+			throw new Error(`term must not decrease from ${this._term} to ${term}`);
 		}
 		this._term = term;
 		this._votedFor = votedFor;
 		this.effects.records.push({ hardState: this.hardState });
 	}
 
-	/** Follows a leader, or waits for one. */
+	/** Becomes a follower; `leader` is undefined if the leader of the term is not known yet. */
 	becomeFollower(term: number, leader: MemberId | undefined, now: Millis): void {
 		if (term > this._term) {
 			this.setTerm(term);
 		}
 		this.role = ReplicaRole.Follower;
 		this.leader = leader;
-		this.postponeElection(now);
+		this.resetElectionTimer(now);
 	}
 
-	/** Draws the time of the next election anew. */
-	postponeElection(now: Millis): void {
+	/** Restarts the election timer with a new random timeout. */
+	resetElectionTimer(now: Millis): void {
 		this.electionAt = now + this.timing.electionMinMs * (1 + this._random());
 	}
 
-	/** Asks again soon whether an election would be won: the question binds nobody. */
-	repeatPreVote(now: Millis): void {
-		this.electionAt = now + PRE_VOTE_REPEAT_MS * (1 + this._random());
+	/** Schedules the next pre-vote sooner than an election timeout, as pre-votes are not binding. */
+	schedulePreVoteRetry(now: Millis): void {
+		this.electionAt = now + MIN_PRE_VOTE_INTERVAL_MS * (1 + this._random());
 	}
 
-	/** Begins anew soon after an election that nobody won, at a time of this replica's own. */
-	repeatElection(now: Millis): void {
-		this.electionAt = now + ELECTION_REPEAT_MS * (1 + this._random());
+	/** Schedules a retry in case the election is not won, at a random time to avoid another split vote. */
+	scheduleElectionRetry(now: Millis): void {
+		this.electionAt = now + MIN_ELECTION_RETRY_MS * (1 + this._random());
 	}
 
-	/** Appends entries of this replica's own. */
-	appendOwn(entries: readonly LogEntry[]): void {
+	/** Appends entries that this replica created itself. */
+	appendLocal(entries: readonly LogEntry[]): void {
 		this.log.append(entries);
 		this.effects.records.push({ entries });
 		this.refreshMembers();
 	}
 
-	/** Reads the list of members from the log again, after the log has changed. */
+	/** Updates the member list after the log has changed. */
 	refreshMembers(): void {
 		const latest = this.log.latestMembers();
 		this._members = latest.members;
 		this._membersIndex = latest.index;
 	}
 
-	/** Takes the log to be committed up to an index and hands the entries out. */
-	deliver(commit: LogIndex): void {
-		if (commit <= this._commit) {
+	/** Advances the commit index and adds the newly committed entries to the effects. */
+	commitUpTo(index: LogIndex): void {
+		if (index <= this._commitIndex) {
 			return;
 		}
-		this._commit = commit;
-		const entries = this.log.slice(this._delivered + 1, commit - this._delivered);
+		this._commitIndex = index;
+		const entries = this.log.slice(this._deliveredIndex + 1, index - this._deliveredIndex);
 		this.effects.committed.push(...entries);
-		this._delivered = commit;
+		this._deliveredIndex = index;
 	}
 
 	/**
-	 * A leader says how far the log is committed; this replica is current where it holds all of that, and the leader has committed
-	 * something in its own term: until then more may be committed than the leader knows. 8 of 45 control instances that had just started
-	 * passed for current without what was committed.
+	 * Records the commit index that a leader has reported. This replica is current if it holds everything up to that index
+	 * and the leader has committed an entry of its own term; until then more may be committed than the leader knows.
 	 */
-	noteHeardCommit(commit: LogIndex, now: Millis): void {
-		this._heardCommit = Math.max(this._heardCommit, commit);
-		const isLeaderCurrent = this.log.termAt(this._commit) === this._term;
-		if (isLeaderCurrent && this._commit >= this._heardCommit) {
-			this.currentAt = now;
+	recordLeaderCommit(index: LogIndex, now: Millis): void {
+		this._leaderCommitIndex = Math.max(this._leaderCommitIndex, index);
+		const isLeaderCurrent = this.log.termAt(this._commitIndex) === this._term;
+		if (isLeaderCurrent && this._commitIndex >= this._leaderCommitIndex) {
+			this.lastCurrentAt = now;
 		}
 	}
 
-	/** A snapshot has replaced the log: everything up to it is committed, applied and persisted. */
-	jumpTo(index: LogIndex): void {
-		this._commit = index;
-		this._delivered = index;
-		this.persisted = index;
+	/** Sets all indices to that of a snapshot which has replaced the log. */
+	resetToSnapshot(index: LogIndex): void {
+		this._commitIndex = index;
+		this._deliveredIndex = index;
+		this.persistedIndex = index;
 		this.refreshMembers();
 	}
 
-	/** The effects of the step, which ends here. */
+	/** Ends the current step and returns its effects. */
 	takeEffects(): Effects {
 		const effects = this.effects;
 		this.effects = noEffects();
--- a/src/plugins/agreement/common/replicatedState.ts
+++ b/src/plugins/agreement/common/replicatedState.ts
@@ -2,57 +2,57 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The state that the log replicates, made of parts that features register. */
+/** The replicated state, made up of parts that features register. */
 
 import { decode, encode } from '@msgpack/msgpack';
 import type { LogIndex } from './agreementTypes.js';
 
-/** A command for one part of the replicated state. */
+/** A command for a part of the replicated state. */
 export interface PartCommand {
-	/** Id of the part that applies it. */
+	/** Id of the part that applies the command. */
 	readonly part: string;
 	readonly body: unknown;
 }
 
-/** One feature's share of the replicated state; `apply` must be deterministic. */
+/** The replicated state of a feature; `apply` must be deterministic. */
 export interface IReplicatedPart {
 	readonly id: string;
-	/** Applies one committed command and returns the result for whoever proposed it. */
+	/** Applies a committed command and returns the result for its proposer. */
 	apply(body: unknown, index: LogIndex): unknown;
-	/** A value that `restore` understands; plain data only. */
+	/** Returns the state for `restore`, as plain data that MessagePack can encode. */
 	save(): unknown;
-	/** Replaces the part's state. */
+	/** Replaces the state with a saved one. */
 	restore(saved: unknown): void;
 }
 
-/** All parts together. */
+/** All parts of the replicated state. */
 export class ReplicatedState {
 	private readonly _parts = new Map<string, IReplicatedPart>();
 
-	/** Adds a part; before the log starts. */
+	/** Registers a part; must be called before the log is opened. */
 	addPart(part: IReplicatedPart): void {
 		if (this._parts.has(part.id)) {
-			throw new Error(`replicated part '${part.id}' is added twice`);
+			throw new Error(`replicated part '${part.id}' is already registered`);
 		}
 		this._parts.set(part.id, part);
 	}
 
-	/** Applies a committed command to its part. */
+	/** Applies a committed command to its part and returns the result. */
 	apply(command: PartCommand, index: LogIndex): unknown {
 		const part = this._parts.get(command.part);
 		if (!part) {
-			throw new Error(`entry ${index} is for the unknown part '${command.part}'`);
+			throw new Error(`entry ${index} has a command for the unknown part '${command.part}'`);
 		}
 		return part.apply(command.body, index);
 	}
 
-	/** The whole state as bytes. */
+	/** Encodes the state of all parts. */
 	save(): Uint8Array {
 		const saved = [...this._parts.values()].map(part => ({ id: part.id, saved: part.save() }));
 		return encode(saved, { ignoreUndefined: true });
 	}
 
-	/** Replaces the whole state. */
+	/** Replaces the state of all parts with an encoded one; parts that are not registered are ignored. */
 	restore(data: Uint8Array): void {
 		for (const { id, saved } of decode(data) as { id: string; saved: unknown }[]) {
 			this._parts.get(id)?.restore(saved);
--- a/src/plugins/agreement/node/agreementTask.ts
+++ b/src/plugins/agreement/node/agreementTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The task that owns one replica: its files, its timers and its messages. The decisions are the core's. */
+/** The task that runs a replica: it does the I/O and timing for the protocol logic in `AgreementCore`. */
 
 import { Disposable, toDisposable } from '../../../base/disposable.js';
 import { Emitter } from '../../../base/event.js';
@@ -29,17 +29,17 @@
 	type MemberId,
 	ReplicaRole
 } from '../common/agreementTypes.js';
-import { createGenesis, FIRST_INCARNATION } from '../common/genesis.js';
+import { createBootstrapState, INITIAL_INCARNATION } from '../common/bootstrapState.js';
 import { type IReplicatedPart, type PartCommand, ReplicatedState } from '../common/replicatedState.js';
 import type { AgreementSettings } from './agreementSettings.js';
 import { deliverMethod, helloMethod } from './agreementWire.js';
 import { LogStore, StoreCondition } from './logStore.js';
-import { type ListedPeer, MemberDiscovery } from './memberDiscovery.js';
+import { type ConfiguredPeer, MemberDiscovery } from './memberDiscovery.js';
 import { PeerSender } from './peerSender.js';
 
 const TICK_MS = 20;
 
-/** A message to the task. */
+/** A message in the mailbox of the task. */
 type TaskMessage =
 	| { readonly type: 'tick' }
 	| { readonly type: 'received'; readonly message: AgreementMessage }
@@ -48,15 +48,16 @@
 	| { readonly type: 'remove'; readonly id: MemberId; readonly resolve: (done: boolean) => void }
 	| { readonly type: 'bootstrap' };
 
-/** A command that waits for its entry to be committed and applied. */
+/** A proposed command and the callbacks of its promise. */
 interface Proposal {
 	readonly command: PartCommand;
 	resolve(result: unknown): void;
 	reject(error: Error): void;
 }
 
-/** A proposal that has its place in the log. */
-interface PlacedProposal extends Proposal {
+/** A proposal whose entry was appended to the log and is not applied yet. */
+interface AppendedProposal extends Proposal {
+	/** Term of the entry; if another entry is committed at its index, the outcome is unknown. */
 	readonly term: number;
 }
 
@@ -70,38 +71,38 @@
 	private readonly _instance: InstanceSettings;
 	private readonly _controls: ReadonlyMap<string, ControlPeerSettings>;
 	private readonly _senders = new Map<MemberId, PeerSender>();
-	private readonly _placed = new Map<LogIndex, PlacedProposal>();
+	private readonly _appendedProposals = new Map<LogIndex, AppendedProposal>();
 	private readonly _mailbox = this._register(
 		new Mailbox<TaskMessage>(
 			batch => this._handleBatch(batch),
-			error => this._fail(error)
+			error => this._stopProcess(error)
 		)
 	);
 	private _store!: LogStore;
-	/** Absent until the log has been opened; timers of other parts may ask before. */
+	/** Undefined until the log is open; other parts may query this task before. */
 	private _core!: AgreementCore;
 	private _identity!: ReplicaIdentity;
 	private _wasLeader = false;
 	private readonly _suspension = new SuspensionWatch();
-	/** What a quorum heard of this replica before gives no lease. */
-	private _trustedSince: Millis = Number.NEGATIVE_INFINITY;
+	/** Quorum contact before this time does not count for the lease. */
+	private _contactValidFrom: Millis = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		@ISettingsService private readonly _allSettings: ISettingsService,
-		@IPeerCalls private readonly _wire: IPeerCalls,
+		@IPeerCalls private readonly _peerCalls: IPeerCalls,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
 		this._settings = _allSettings.section<AgreementSettings>('agreement');
 		this._instance = _allSettings.section<InstanceSettings>('instance');
 		this._controls = _allSettings.namedSections<ControlPeerSettings>('control');
-		this._wire.handleUnary(deliverMethod, async request => {
+		this._peerCalls.handleUnary(deliverMethod, async request => {
 			for (const message of request.messages) {
 				this._mailbox.post({ type: 'received', message });
 			}
 			return { received: true as const };
 		});
-		this._wire.handleUnary(helloMethod, async request => {
+		this._peerCalls.handleUnary(helloMethod, async request => {
 			if (request.asksToJoin) {
 				this._mailbox.post({ type: 'join', identity: request.identity });
 			}
@@ -114,7 +115,7 @@
 		return this._allSettings.section<DiscoverySettings>('discovery');
 	}
 
-	/** Peer addresses of the seeds, as the settings have them now; empty when the members are listed there. */
+	/** Peer addresses of the seeds in the current settings; empty if the settings list the members instead. */
 	private get _seeds(): readonly string[] {
 		return seedPeerAddresses(this._discovery, this._instance.peerAddress);
 	}
@@ -124,15 +125,15 @@
 	}
 
 	async start(): Promise<void> {
-		await this._open();
-		await this._wire.listen();
+		await this._openLog();
+		await this._peerCalls.listen();
 		const timer = setInterval(() => this._mailbox.post({ type: 'tick' }), TICK_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
-		const discovery = new MemberDiscovery(this._wire, this._core, this._identity);
+		const discovery = new MemberDiscovery(this._peerCalls, this._core, this._identity);
 		if (this._seeds.length > 0) {
-			void discovery.keepInTouch(() => this._seeds);
+			void discovery.maintainMembership(() => this._seeds);
 		} else if (this._core.isBlank) {
-			void discovery.introduce(this._otherPeers(), () => this._mailbox.post({ type: 'bootstrap' }));
+			void discovery.joinOrBootstrap(this._otherPeers(), () => this._mailbox.post({ type: 'bootstrap' }));
 		}
 	}
 
@@ -145,12 +146,12 @@
 
 	hasLease(): boolean {
 		const now = systemClock.now();
-		// In a suspension others may have elected another leader, and the lease did not run.
+		// The monotonic clock stops during a suspension, so the lease may seem valid although another leader was elected.
 		if (this._suspension.takeLeap()) {
-			this._trustedSince = now;
-			this._log.warn('clocks ran apart; the lease counts anew', { task: 'agreement' });
+			this._contactValidFrom = now;
+			this._log.warn('clock jump detected; lease invalid until the next quorum contact', { task: 'agreement' });
 		}
-		return this._core?.hasLease(now, this._trustedSince) ?? false;
+		return this._core?.hasLease(now, this._contactValidFrom) ?? false;
 	}
 
 	contactAgeMs(): number {
@@ -162,16 +163,16 @@
 	}
 
 	status(): ReplicaStatus {
-		return this._core ? this._openStatus() : this._statusBeforeOpening();
+		return this._core ? this._currentStatus() : this._statusBeforeOpen();
 	}
 
-	/** Other parts may ask while a slow disk still opens the log: there is nothing to tell but who this is. */
-	private _statusBeforeOpening(): ReplicaStatus {
-		const nothing = { commitIndex: 0, lastIndex: 0, snapshotIndex: 0, members: [] };
-		return { id: this._id, incarnation: '', role: ReplicaRole.Follower, term: 0, ...nothing };
+	/** Status while the log is being opened, which other parts may query already. */
+	private _statusBeforeOpen(): ReplicaStatus {
+		const emptyLog = { commitIndex: 0, lastIndex: 0, snapshotIndex: 0, members: [] };
+		return { id: this._id, incarnation: '', role: ReplicaRole.Follower, term: 0, ...emptyLog };
 	}
 
-	private _openStatus(): ReplicaStatus {
+	private _currentStatus(): ReplicaStatus {
 		return {
 			id: this._identity.id,
 			incarnation: this._identity.incarnation,
@@ -185,19 +186,19 @@
 		};
 	}
 
-	private _otherPeers(): ListedPeer[] {
+	private _otherPeers(): ConfiguredPeer[] {
 		const listed = [...this._controls].map(([name, { address }]) => ({ name, address }));
 		return listed.filter(({ name }) => name !== this._identity.id);
 	}
 
-	private async _open(): Promise<void> {
+	private async _openLog(): Promise<void> {
 		this._store = new LogStore(this._settings.dataFolder);
 		const isSeedAtFirstStart = this._discovery.firstStart && this._seeds.includes(this._instance.peerAddress);
-		let opened = await this._store.open(isSeedAtFirstStart ? FIRST_INCARNATION : undefined);
+		let opened = await this._store.open(isSeedAtFirstStart ? INITIAL_INCARNATION : undefined);
 		if (isSeedAtFirstStart && opened.condition === StoreCondition.Blank) {
-			const genesis = createGenesis(this._seeds);
-			await this._store.append([genesis]);
-			opened = { ...opened, hardState: genesis.hardState, log: { entries: genesis.entries } };
+			const bootstrapState = createBootstrapState(this._seeds);
+			await this._store.append([bootstrapState]);
+			opened = { ...opened, hardState: bootstrapState.hardState, log: { entries: bootstrapState.entries } };
 		}
 		this._identity = this._createIdentity(opened.incarnation);
 		this._log.info('log opened', { task: 'agreement', condition: opened.condition, term: opened.hardState.term });
@@ -209,14 +210,14 @@
 			random: Math.random,
 			now: systemClock.now(),
 			startedAt: PROCESS_STARTED_AT,
-			isDiscovered: this._seeds.length > 0
+			hasDiscoveredMembers: this._seeds.length > 0
 		});
 		if (opened.log.snapshot) {
 			this._state.restore(opened.log.snapshot.data);
 		}
 	}
 
-	/** Where members are learned, a replica goes by its address. */
+	/** The peer address if members are discovered, otherwise the instance name. */
 	private get _id(): MemberId {
 		return this._seeds.length > 0 ? this._instance.peerAddress : this._instance.name;
 	}
@@ -229,23 +230,23 @@
 
 	private async _handleBatch(batch: TaskMessage[]): Promise<void> {
 		const proposals: Proposal[] = [];
-		const all: Effects[] = [];
+		const allEffects: Effects[] = [];
 		for (const message of batch) {
 			if (message.type === 'propose') {
 				proposals.push(message.proposal);
 			} else {
-				all.push(this._step(message));
+				allEffects.push(this._handleMessage(message));
 			}
 		}
 		if (proposals.length > 0) {
-			all.push(...this._placeProposals(proposals));
+			allEffects.push(...this._appendProposals(proposals));
 		}
-		await this._perform(all);
-		this._noticeLeadership();
-		await this._compactIfLong();
+		await this._performEffects(allEffects);
+		this._updateLeadership();
+		await this._compactIfDue();
 	}
 
-	private _step(message: Exclude<TaskMessage, { type: 'propose' }>): Effects {
+	private _handleMessage(message: Exclude<TaskMessage, { type: 'propose' }>): Effects {
 		const now = systemClock.now();
 		switch (message.type) {
 			case 'tick':
@@ -264,40 +265,42 @@
 		}
 	}
 
-	private _placeProposals(proposals: readonly Proposal[]): Effects[] {
-		const placed = this._core.propose(
+	private _appendProposals(proposals: readonly Proposal[]): Effects[] {
+		const appended = this._core.propose(
 			proposals.map(proposal => proposal.command),
 			systemClock.now()
 		);
-		if (!placed) {
+		if (!appended) {
 			const error = new NotLeaderError(this._core.leader);
 			proposals.forEach(proposal => proposal.reject(error));
 			return [];
 		}
-		proposals.forEach((proposal, i) => this._placed.set(placed.first + i, { ...proposal, term: this._core.term }));
-		return [placed.effects];
+		proposals.forEach((proposal, i) =>
+			this._appendedProposals.set(appended.first + i, { ...proposal, term: this._core.term })
+		);
+		return [appended.effects];
 	}
 
-	/** Carries effects out: early messages, one synced write, the other messages, then what is committed. */
-	private async _perform(all: readonly Effects[]): Promise<void> {
-		all.forEach(effects => effects.earlyMessages.forEach(message => this._send(message)));
-		const records = all.flatMap(effects => effects.records);
-		const written = { index: this._core.lastIndex, term: this._core.term };
+	/** Sends early messages, writes and syncs all records at once, sends the other messages, then applies committed entries. */
+	private async _performEffects(allEffects: readonly Effects[]): Promise<void> {
+		allEffects.forEach(effects => effects.earlyMessages.forEach(message => this._send(message)));
+		const records = allEffects.flatMap(effects => effects.records);
+		const lastAppended = { index: this._core.lastIndex, term: this._core.term };
 		if (records.length > 0) {
 			await this._store.append([...records, { commit: this._core.commitIndex }]);
 		}
-		all.forEach(effects => effects.messages.forEach(message => this._send(message)));
-		all.forEach(effects => this._apply(effects));
+		allEffects.forEach(effects => effects.messages.forEach(message => this._send(message)));
+		allEffects.forEach(effects => this._apply(effects));
 		if (records.length > 0) {
-			const after = this._core.onPersisted(written.index, written.term, systemClock.now());
-			await this._perform([after]);
+			const after = this._core.onPersisted(lastAppended.index, lastAppended.term, systemClock.now());
+			await this._performEffects([after]);
 		}
 	}
 
 	private _apply(effects: Effects): void {
 		if (effects.restore) {
 			this._state.restore(effects.restore.data);
-			this._rejectPlaced();
+			this._rejectAppendedProposals();
 		}
 		effects.committed.forEach(entry => this._applyEntry(entry));
 	}
@@ -305,11 +308,11 @@
 	private _applyEntry(entry: LogEntry): void {
 		const isCommand = entry.kind === EntryKind.Command;
 		const result = isCommand ? this._state.apply(entry.command as PartCommand, entry.index) : undefined;
-		const proposal = this._placed.get(entry.index);
+		const proposal = this._appendedProposals.get(entry.index);
 		if (!proposal) {
 			return;
 		}
-		this._placed.delete(entry.index);
+		this._appendedProposals.delete(entry.index);
 		if (proposal.term === entry.term) {
 			proposal.resolve(result);
 		} else {
@@ -324,15 +327,15 @@
 		}
 		let sender = this._senders.get(message.to);
 		if (!sender || sender.address !== address) {
-			sender = new PeerSender(this._wire, address);
+			sender = new PeerSender(this._peerCalls, address);
 			this._senders.set(message.to, sender);
 		}
 		sender.send(message);
 	}
 
 	/**
-	 * The settings win over the log: this process may reach the other by an address of its own. Where members are learned
-	 * the id is the address, so that a replica that holds no list yet can answer.
+	 * Peer address of a replica. The settings take precedence over the member list, as instances may reach a peer at
+	 * different addresses. If members are discovered, the id is the address, so no member list is needed to reply.
 	 */
 	private _addressOf(id: MemberId): string | undefined {
 		if (this._seeds.length > 0) {
@@ -341,27 +344,27 @@
 		return this._controls.get(id)?.address ?? this._core.members.find(member => member.id === id)?.address;
 	}
 
-	private _noticeLeadership(): void {
+	private _updateLeadership(): void {
 		const isLeader = this._core.role === ReplicaRole.Leader;
 		if (isLeader === this._wasLeader) {
 			return;
 		}
 		this._wasLeader = isLeader;
-		this._log.info(isLeader ? 'leads' : 'no longer leads', { task: 'agreement', term: this._core.term });
+		this._log.info(isLeader ? 'became leader' : 'lost leadership', { task: 'agreement', term: this._core.term });
 		if (!isLeader) {
-			this._rejectPlaced();
+			this._rejectAppendedProposals();
 		}
 		this._onDidChangeLeadership.fire(isLeader);
 	}
 
-	private _rejectPlaced(): void {
-		for (const proposal of this._placed.values()) {
+	private _rejectAppendedProposals(): void {
+		for (const proposal of this._appendedProposals.values()) {
 			proposal.reject(new OutcomeUnknownError());
 		}
-		this._placed.clear();
+		this._appendedProposals.clear();
 	}
 
-	private async _compactIfLong(): Promise<void> {
+	private async _compactIfDue(): Promise<void> {
 		const applied = this._core.commitIndex;
 		if (applied - this._core.snapshotIndex < this._settings.snapshotEveryEntries) {
 			return;
@@ -371,9 +374,9 @@
 		this._log.info('snapshot written', { task: 'agreement', index: applied, bytes: snapshot.data.byteLength });
 	}
 
-	/** A replica that cannot write, or whose invariants broke, must not go on answering. */
-	private _fail(error: Error): void {
-		this._log.error('replica stops', { task: 'agreement', error: error.stack });
+	/** Stops the process after a write error or a violated invariant, as the replica must not answer any more. */
+	private _stopProcess(error: Error): void {
+		this._log.error('replica failed; stopping the process', { task: 'agreement', error: error.stack });
 		process.exitCode = 1;
 		process.kill(process.pid, 'SIGTERM');
 	}
--- a/src/plugins/agreement/node/agreementWire.ts
+++ b/src/plugins/agreement/node/agreementWire.ts
@@ -2,39 +2,39 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The methods between replicas. */
+/** Peer methods between replicas. */
 
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 import type { AgreementMessage } from '../common/agreementTypes.js';
 import type { ReplicaIdentity } from '../common/agreementCore.js';
 
-/** Messages for the replica at the other end, in order. */
+/** Protocol messages for the called replica, in order. */
 export interface DeliverRequest {
 	readonly messages: readonly AgreementMessage[];
 }
 
-/** Nothing: answers travel as messages of their own. */
+/** Acknowledges receipt only; replies of the protocol are sent as separate messages. */
 export interface DeliverResponse {
 	readonly received: true;
 }
 
-/** Says who is there; a blank replica asks to be admitted by it. */
+/** Introduces the caller and, if it is not a member, asks for admission. */
 export interface HelloRequest {
 	readonly identity: ReplicaIdentity;
 	readonly isBlank: boolean;
-	/** Whether the caller is no member yet, or no longer, and asks the leader to admit it. */
+	/** Whether the caller asks the leader to admit it as a member. */
 	readonly asksToJoin: boolean;
 }
 
-/** Who answered, and whether it holds anything. */
+/** Identity of the called replica, and whether its log is empty. */
 export interface HelloResponse {
 	readonly identity: ReplicaIdentity;
 	readonly isBlank: boolean;
-	/** Addresses of the members that the answerer knows; none of them may be right any more. */
+	/** Addresses of the members known to the called replica; may be outdated. */
 	readonly memberAddresses: readonly string[];
 }
 
-/** Hands messages to a replica. */
+/** Delivers protocol messages to a replica. */
 export const deliverMethod = defineUnary<DeliverRequest, DeliverResponse>('agreement', 'Deliver');
-/** Introduces a replica. */
+/** Introduces the caller to a replica. */
 export const helloMethod = defineUnary<HelloRequest, HelloResponse>('agreement', 'Hello');
--- a/src/plugins/agreement/node/leaderGate.ts
+++ b/src/plugins/agreement/node/leaderForwarder.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The leader gate of a control instance. */
+/** Forwards peer calls of a control instance to the leader. */
 
 import type { UnaryMethod } from '../../../kernel/common/peerMethods.js';
 import type { ControlPeerSettings } from '../../../kernel/node/instanceSettings.js';
@@ -13,30 +13,34 @@
 
 const FORWARD_TIMEOUT_MS = 1500;
 
-/** Hands calls to the leader. */
-export class LeaderGate implements ILeaderGate {
+/** Answers calls if this replica is the leader, and forwards them to the leader otherwise. */
+export class LeaderForwarder implements ILeaderGate {
 	private readonly _controls: ReadonlyMap<string, ControlPeerSettings>;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerCalls private readonly _wire: IPeerCalls,
+		@IPeerCalls private readonly _peerCalls: IPeerCalls,
 		@IAgreement private readonly _agreement: IAgreement
 	) {
 		this._controls = settings.namedSections<ControlPeerSettings>('control');
 	}
 
-	handle<Q extends LeaderRequest, S>(method: UnaryMethod<Q, S>, onLeader: (request: Q) => Promise<S>, nobody: S): void {
-		this._wire.handleUnary(method, async request => {
+	handle<Q extends LeaderRequest, S>(
+		method: UnaryMethod<Q, S>,
+		onLeader: (request: Q) => Promise<S>,
+		noLeaderResponse: S
+	): void {
+		this._peerCalls.handleUnary(method, async request => {
 			if (this._agreement.hasLease()) {
-				const answer = await onLeader(request);
-				return this._agreement.hasLease() ? answer : nobody;
+				const response = await onLeader(request);
+				return this._agreement.hasLease() ? response : noLeaderResponse;
 			}
 			const { leader, id } = this._agreement.status();
 			const peer = leader === undefined || leader === id ? undefined : this._controls.get(leader);
 			if (!peer || request.isForwarded) {
-				return nobody;
+				return noLeaderResponse;
 			}
-			return this._wire.call(peer.address, method, { ...request, isForwarded: true }, FORWARD_TIMEOUT_MS);
+			return this._peerCalls.call(peer.address, method, { ...request, isForwarded: true }, FORWARD_TIMEOUT_MS);
 		});
 	}
 }
--- a/src/plugins/agreement/node/logStore.ts
+++ b/src/plugins/agreement/node/logStore.ts
@@ -3,11 +3,12 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The replica's files: `identity.json` and `log.bin`.
+ * Files of a replica: `identity.json` and `log.bin`.
  *
- * `log.bin` is a row of records, each `magic, length, CRC-32, payload` (32-bit little endian, MessagePack). One batch is
- * one record and one sync. A bad record with no good one after it is a torn tail: it was never synced, so it is cut. A bad
- * record with good ones after it is damage to what was synced: the replica gives up its files and its incarnation.
+ * `log.bin` is a sequence of records, each `magic, length, CRC-32, payload` (32-bit little endian; the payload is
+ * MessagePack). A batch of records is written with one sync. An invalid record without a valid one after it is a torn
+ * write that was never synced, and is truncated. An invalid record with valid ones after it means that synced data is
+ * damaged: the log file is renamed and the replica starts empty under a new incarnation.
  */
 
 import { randomUUID } from 'node:crypto';
@@ -25,18 +26,18 @@
 const LOG_FILE = 'log.bin';
 const IDENTITY_FILE = 'identity.json';
 
-/** How the files were found at the start. */
+/** Condition of the files when they were opened. */
 export enum StoreCondition {
-	/** No log yet, or a folder that was lost. */
+	/** There is no log file, or no record in it. */
 	Blank = 'blank',
-	Whole = 'whole',
-	/** The last record was incomplete and was cut. */
+	Intact = 'whole',
+	/** The end of the file was invalid and was truncated. */
 	TornTail = 'torn-tail',
-	/** Synced data was damaged; the files were set aside and the replica begins anew. */
+	/** Synced data or the identity file is lost; the log file was renamed and the replica starts empty. */
 	Damaged = 'damaged'
 }
 
-/** What the store holds after opening. */
+/** Contents of the store after opening. */
 export interface OpenedStore {
 	readonly condition: StoreCondition;
 	readonly incarnation: string;
@@ -54,15 +55,15 @@
 	return bytes;
 }
 
-/** The payload of the record at an offset, or undefined when there is no whole record. */
+/** Payload of the record at an offset, or undefined if there is no valid record. */
 function payloadAt(bytes: Buffer, offset: number): Buffer | undefined {
 	if (offset + HEADER_BYTES > bytes.length || bytes.readUInt32LE(offset) !== MAGIC) {
 		return undefined;
 	}
 	const start = offset + HEADER_BYTES;
 	const payload = bytes.subarray(start, start + bytes.readUInt32LE(offset + 4));
-	const isWhole = payload.length === bytes.readUInt32LE(offset + 4);
-	return isWhole && crc32(payload) === bytes.readUInt32LE(offset + 8) ? payload : undefined;
+	const isComplete = payload.length === bytes.readUInt32LE(offset + 4);
+	return isComplete && crc32(payload) === bytes.readUInt32LE(offset + 8) ? payload : undefined;
 }
 
 function hasRecordAfter(bytes: Buffer, offset: number): boolean {
@@ -76,28 +77,30 @@
 	return false;
 }
 
-/** The records of a file and where the good part ends. */
-interface ReadRecords {
+/** Records of a log file up to the first invalid one. */
+interface ParsedRecords {
 	readonly records: PersistRecord[];
-	readonly goodBytes: number;
+	/** Length of the valid part at the start of the file. */
+	readonly validBytes: number;
+	/** Whether a valid record follows an invalid one. */
 	readonly isDamaged: boolean;
 }
 
-function readRecords(bytes: Buffer): ReadRecords {
+function parseRecords(bytes: Buffer): ParsedRecords {
 	const records: PersistRecord[] = [];
 	let offset = 0;
 	while (offset < bytes.length) {
 		const payload = payloadAt(bytes, offset);
 		if (!payload) {
-			return { records, goodBytes: offset, isDamaged: hasRecordAfter(bytes, offset) };
+			return { records, validBytes: offset, isDamaged: hasRecordAfter(bytes, offset) };
 		}
 		records.push(decode(payload) as PersistRecord);
 		offset += HEADER_BYTES + payload.length;
 	}
-	return { records, goodBytes: offset, isDamaged: false };
+	return { records, validBytes: offset, isDamaged: false };
 }
 
-/** Replays records into the state they describe. */
+/** Replays records into a hard state and a log. */
 function replay(records: readonly PersistRecord[]): { hardState: HardState; log: StoredLog } {
 	let hardState: HardState = { term: 0 };
 	let snapshot: Snapshot | undefined;
@@ -131,43 +134,43 @@
 	}
 }
 
-/** The files of one replica. */
+/** Reads and writes the files of a replica. */
 export class LogStore {
 	private _handle!: FileHandle;
 	private _size = 0;
 
-	/** @param _folder the data folder, created when missing */
+	/** @param _folder data folder; created if missing */
 	constructor(private readonly _folder: string) {}
 
-	/** Bytes in the log file. */
+	/** Size of the log file in bytes. */
 	get size(): number {
 		return this._size;
 	}
 
 	/**
-	 * Reads the files; cuts a torn tail and sets damaged files aside.
-	 * @param freshIncarnation the incarnation of a folder that is blank
+	 * Reads the files; truncates a torn tail and renames a damaged log file.
+	 * @param blankIncarnation incarnation to use if there is no log file
 	 */
-	async open(freshIncarnation: string = randomUUID()): Promise<OpenedStore> {
+	async open(blankIncarnation: string = randomUUID()): Promise<OpenedStore> {
 		await mkdir(this._folder, { recursive: true, mode: 0o700 });
 		const bytes = await readIfPresent(join(this._folder, LOG_FILE));
 		const identity = await readIfPresent(join(this._folder, IDENTITY_FILE));
-		const read = readRecords(bytes ?? Buffer.alloc(0));
-		const isDamaged = read.isDamaged || (bytes !== undefined && identity === undefined);
+		const parsed = parseRecords(bytes ?? Buffer.alloc(0));
+		const isDamaged = parsed.isDamaged || (bytes !== undefined && identity === undefined);
 		if (isDamaged) {
 			await rename(join(this._folder, LOG_FILE), join(this._folder, `log.damaged-${randomUUID()}`));
 		}
-		const isFresh = isDamaged || bytes === undefined;
-		const incarnation = isFresh
-			? await this._newIncarnation(isDamaged ? randomUUID() : freshIncarnation)
+		const startsBlank = isDamaged || bytes === undefined;
+		const incarnation = startsBlank
+			? await this._writeIncarnation(isDamaged ? randomUUID() : blankIncarnation)
 			: this._readIncarnation(identity!);
-		await this._openLog(isFresh ? 0 : read.goodBytes);
-		const condition = this._condition(bytes, read, isDamaged);
-		const state = replay(isFresh ? [] : read.records);
+		await this._openLog(startsBlank ? 0 : parsed.validBytes);
+		const condition = this._condition(bytes, parsed, isDamaged);
+		const state = replay(startsBlank ? [] : parsed.records);
 		return { condition, incarnation, ...state };
 	}
 
-	/** Writes records and returns when they are synced. */
+	/** Appends records and resolves when they are synced. */
 	async append(records: readonly PersistRecord[]): Promise<void> {
 		const bytes = Buffer.concat(records.map(encodeRecord));
 		await this._handle.write(bytes, 0, bytes.length, this._size);
@@ -175,7 +178,7 @@
 		this._size += bytes.length;
 	}
 
-	/** Replaces the file by a snapshot and what follows it. */
+	/** Atomically replaces the log file with a snapshot and the entries that follow it. */
 	async compact(snapshot: Snapshot, entries: readonly LogEntry[], hardState: HardState): Promise<void> {
 		const bytes = encodeRecord({ snapshot, entries, hardState });
 		await replaceFile(this._folder, LOG_FILE, bytes);
@@ -184,38 +187,37 @@
 		this._size = bytes.length;
 	}
 
-	/** Closes the file. */
 	async close(): Promise<void> {
 		await this._handle.close();
 	}
 
-	private _condition(bytes: Buffer | undefined, read: ReadRecords, isDamaged: boolean): StoreCondition {
+	private _condition(bytes: Buffer | undefined, parsed: ParsedRecords, isDamaged: boolean): StoreCondition {
 		if (isDamaged) {
 			return StoreCondition.Damaged;
 		}
-		if (bytes === undefined || read.records.length === 0) {
+		if (bytes === undefined || parsed.records.length === 0) {
 			return StoreCondition.Blank;
 		}
-		return read.goodBytes < bytes.length ? StoreCondition.TornTail : StoreCondition.Whole;
+		return parsed.validBytes < bytes.length ? StoreCondition.TornTail : StoreCondition.Intact;
 	}
 
 	private _readIncarnation(identity: Buffer): string {
 		return (JSON.parse(identity.toString('utf8')) as { incarnation: string }).incarnation;
 	}
 
-	private async _newIncarnation(incarnation: string): Promise<string> {
+	private async _writeIncarnation(incarnation: string): Promise<string> {
 		await replaceFile(this._folder, IDENTITY_FILE, Buffer.from(JSON.stringify({ incarnation })));
 		return incarnation;
 	}
 
-	private async _openLog(goodBytes: number): Promise<void> {
+	private async _openLog(validBytes: number): Promise<void> {
 		const path = join(this._folder, LOG_FILE);
 		const handle = await open(path, 'a');
 		await handle.close();
 		this._handle = await open(path, 'r+');
-		await this._handle.truncate(goodBytes);
+		await this._handle.truncate(validBytes);
 		await this._handle.sync();
 		await syncFolder(this._folder);
-		this._size = goodBytes;
+		this._size = validBytes;
 	}
 }
--- a/src/plugins/agreement/node/memberDiscovery.ts
+++ b/src/plugins/agreement/node/memberDiscovery.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** How a replica finds the others: it says hello to those that it knows of, until it is one of the members. */
+/** Peer discovery: a replica sends hello requests to the peers it knows until it is a member. */
 
 import { systemClock } from '../../../base/clock.js';
 import type { IPeerCalls } from '../../../kernel/common/peerCalls.js';
@@ -11,87 +11,90 @@
 
 const HELLO_INTERVAL_MS = 200;
 const HELLO_TIMEOUT_MS = 1000;
-/** A replica that knows no leader for this long asks the seeds too. */
-const LEADERLESS_MS = 1500;
+/** A member that has had no leader for this long sends hello requests again. */
+const LEADER_TIMEOUT_MS = 1500;
 
-/** Another control instance, as the settings list it. */
-export interface ListedPeer {
+/** Another control instance listed in the settings. */
+export interface ConfiguredPeer {
 	readonly name: string;
 	readonly address: string;
 }
 
-/** The replica's search for the others. */
+/** Introduces a replica to its peers, so that the leader admits it. */
 export class MemberDiscovery {
-	/** Addresses heard of while looking for the leader. */
-	private readonly _heardOf = new Set<string>();
+	/** Addresses of all members that were ever in a member list here or in a hello response. */
+	private readonly _knownAddresses = new Set<string>();
 
 	constructor(
-		private readonly _wire: IPeerCalls,
+		private readonly _peerCalls: IPeerCalls,
 		private readonly _core: AgreementCore,
 		private readonly _identity: ReplicaIdentity
 	) {}
 
 	/**
-	 * Where members are learned: a replica that is not one, or that hears no leader, says hello to the seeds and to all it
-	 * heard of, until a leader has admitted it or answers again.
-	 * @param seeds peer addresses of the seeds, as the settings have them now
+	 * Keeps this replica a member where members are discovered: while it is not a member, or has had no leader for the
+	 * leader timeout, it sends hello requests to the seeds and to all known addresses. Never resolves.
+	 * @param seeds returns the peer addresses of the seeds in the current settings
 	 */
-	async keepInTouch(seeds: () => readonly string[]): Promise<void> {
-		let leaderAt = systemClock.now();
+	async maintainMembership(seeds: () => readonly string[]): Promise<void> {
+		let lastLeaderAt = systemClock.now();
 		for (;;) {
-			const isMember = this._isListed();
+			const isMember = this._isMember();
 			if (this._core.leader !== undefined) {
-				leaderAt = systemClock.now();
+				lastLeaderAt = systemClock.now();
 			}
-			if (!isMember || systemClock.now() - leaderAt > LEADERLESS_MS) {
-				await this._sayHello(seeds(), !isMember || this._core.leader === undefined);
+			if (!isMember || systemClock.now() - lastLeaderAt > LEADER_TIMEOUT_MS) {
+				await this._sendHello(seeds(), !isMember || this._core.leader === undefined);
 			}
 			await pause();
 		}
 	}
 
 	/**
-	 * A blank replica asks all others who they are. Only when every listed instance answers that it is blank too is this
-	 * a first start; then the one with the lowest name founds the system. Otherwise the leader admits this replica.
-	 * @param found founds the system
+	 * Introduces a replica with an empty log to all listed peers until it is a voter. Only if every peer responds that its
+	 * log is empty too is this the first start, and the replica with the lowest name bootstraps the system. Otherwise the
+	 * leader admits this replica.
+	 * @param bootstrap initializes the log with this replica as the only voter
 	 */
-	async introduce(others: readonly ListedPeer[], found: () => void): Promise<void> {
-		const isFirst = others.every(({ name }) => this._identity.id < name);
+	async joinOrBootstrap(others: readonly ConfiguredPeer[], bootstrap: () => void): Promise<void> {
+		const hasLowestName = others.every(({ name }) => this._identity.id < name);
 		while (!this._core.isVoter) {
 			const request = { identity: this._identity, isBlank: true, asksToJoin: true };
-			const calls = others.map(({ address }) => this._wire.call(address, helloMethod, request, HELLO_TIMEOUT_MS));
-			const answers = await Promise.allSettled(calls);
-			const isFirstStart = answers.every(answer => answer.status === 'fulfilled' && isBlankAnswer(answer.value));
-			if (isFirst && isFirstStart && this._core.isBlank) {
-				found();
+			const calls = others.map(({ address }) => this._peerCalls.call(address, helloMethod, request, HELLO_TIMEOUT_MS));
+			const responses = await Promise.allSettled(calls);
+			const areAllBlank = responses.every(
+				response => response.status === 'fulfilled' && isBlankResponse(response.value)
+			);
+			if (hasLowestName && areAllBlank && this._core.isBlank) {
+				bootstrap();
 			}
 			await pause();
 		}
 	}
 
-	private _isListed(): boolean {
+	private _isMember(): boolean {
 		const { id, incarnation, hall } = this._identity;
 		return this._core.members.some(
 			member => member.id === id && member.incarnation === incarnation && member.hall === hall
 		);
 	}
 
-	private async _sayHello(seeds: readonly string[], asksToJoin: boolean): Promise<void> {
-		this._core.members.forEach(member => this._heardOf.add(member.address));
-		const addresses = new Set([...seeds, ...this._heardOf]);
+	private async _sendHello(seeds: readonly string[], asksToJoin: boolean): Promise<void> {
+		this._core.members.forEach(member => this._knownAddresses.add(member.address));
+		const addresses = new Set([...seeds, ...this._knownAddresses]);
 		addresses.delete(this._identity.address);
 		const request = { identity: this._identity, isBlank: this._core.isBlank, asksToJoin };
-		const calls = [...addresses].map(address => this._wire.call(address, helloMethod, request, HELLO_TIMEOUT_MS));
-		for (const answer of await Promise.allSettled(calls)) {
-			if (answer.status === 'fulfilled') {
-				answer.value.memberAddresses.forEach(address => this._heardOf.add(address));
+		const calls = [...addresses].map(address => this._peerCalls.call(address, helloMethod, request, HELLO_TIMEOUT_MS));
+		for (const response of await Promise.allSettled(calls)) {
+			if (response.status === 'fulfilled') {
+				response.value.memberAddresses.forEach(address => this._knownAddresses.add(address));
 			}
 		}
 	}
 }
 
-function isBlankAnswer(answer: HelloResponse): boolean {
-	return answer.isBlank;
+function isBlankResponse(response: HelloResponse): boolean {
+	return response.isBlank;
 }
 
 function pause(): Promise<void> {
--- a/src/plugins/agreement/test/agreementModel.ts
+++ b/src/plugins/agreement/test/agreementModel.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Replicas over a fake network and fake disks, for random schedules of faults; checks the invariants after each step. */
+/** Simulates replicas with a fake network and fake disks under random faults; checks the safety invariants after each step. */
 
 import assert from 'node:assert/strict';
 import { AgreementCore } from '../common/agreementCore.js';
@@ -19,10 +19,10 @@
 const MAX_MESSAGES = 400;
 const HEAL_ROUNDS = 600;
 const ROUND_MS = 20;
-/** Longer than the whole schedule of elections needs; also longer than every lease. */
+/** Longer than an election takes and than any lease lasts. */
 const FREEZE_MS = 3000;
 
-/** One step of a schedule; the numbers are taken modulo what there is. */
+/** A step of a schedule; `node` and `message` are taken modulo the number of replicas and of pending messages. */
 export type ModelStep =
 	| { readonly type: 'tick'; readonly node: number; readonly ms: number }
 	| { readonly type: 'deliver'; readonly message: number; readonly copy: boolean }
@@ -34,10 +34,10 @@
 	| { readonly type: 'freeze'; readonly node: number }
 	| { readonly type: 'compact'; readonly node: number }
 	| { readonly type: 'join'; readonly node: number }
-	/** Messages to and from the replica are lost until `mend`; one way only when `oneWay`. */
-	| { readonly type: 'cut'; readonly node: number; readonly oneWay: boolean }
-	| { readonly type: 'mend' }
-	/** Lets time pass for all: ticks and whatever messages get through. */
+	/** Messages to and from the replica are lost until `reconnect`; with `oneWay` only those to it. */
+	| { readonly type: 'isolate'; readonly node: number; readonly oneWay: boolean }
+	| { readonly type: 'reconnect' }
+	/** Advances the time of all replicas, with ticks and delivery of messages. */
 	| { readonly type: 'run'; readonly ms: number };
 
 interface Disk {
@@ -45,7 +45,7 @@
 	hardState: HardState;
 	snapshot?: Snapshot;
 	entries: LogEntry[];
-	/** What was known to be committed at the last write. */
+	/** Last index known to be committed at the last write. */
 	commit?: number;
 }
 
@@ -53,22 +53,23 @@
 	readonly id: string;
 	readonly disk: Disk;
 	core?: AgreementCore;
-	/** When it stopped, until it starts again. */
+	/** When the process crashed; undefined while it runs. */
 	crashedAt?: number;
-	/** Steps do not reach it before this time. */
+	/** The replica handles nothing before this time. */
 	frozenUntil: number;
-	/** The next write is lost together with the process. */
+	/** The process crashes at its next write, which is lost. */
 	crashesBeforeSync: boolean;
+	/** Index of the last applied entry. */
 	applied: number;
-	cutIn: boolean;
-	cutOut: boolean;
+	dropsInbound: boolean;
+	dropsOutbound: boolean;
 }
 
 function blankDisk(incarnation: string): Disk {
 	return { incarnation, hardState: { term: 0 }, entries: [] };
 }
 
-/** A system under test. */
+/** A simulated system of replicas. */
 export class AgreementModel {
 	private readonly _nodes: ModelNode[];
 	private readonly _messages: AgreementMessage[] = [];
@@ -77,7 +78,7 @@
 	private _now = 0;
 	private _incarnations = 0;
 	private _proposals = 0;
-	private _mostCommitted = 0;
+	private _maxCommittedIndex = 0;
 	private _randomState = 1;
 
 	constructor(count: number) {
@@ -87,16 +88,16 @@
 			frozenUntil: 0,
 			crashesBeforeSync: false,
 			applied: 0,
-			cutIn: false,
-			cutOut: false
+			dropsInbound: false,
+			dropsOutbound: false
 		}));
 		this._nodes.forEach(node => this._start(node));
 		this._perform(this._nodes[0]!, core => core.bootstrap(this._now));
 		this.heal();
 	}
 
-	/** Members that vote under their present incarnation, as the most advanced replica lists them. */
-	get wholeVoters(): number {
+	/** Number of voters with the incarnation of their current disk, in the member list of the replica with the longest log. */
+	get currentVoterCount(): number {
 		const best = this._running().sort((a, b) => b.core!.lastIndex - a.core!.lastIndex)[0];
 		const members = best?.core?.members ?? [];
 		return members.filter(
@@ -106,39 +107,38 @@
 		).length;
 	}
 
-	/** Number of replicas. */
 	get size(): number {
 		return this._nodes.length;
 	}
 
-	/** Entries known to be committed. */
+	/** Highest index that any replica has applied as committed. */
 	get committedCount(): number {
-		return this._mostCommitted;
+		return this._maxCommittedIndex;
 	}
 
-	/** Does one step and checks the invariants. */
+	/** Executes a step and checks the invariants. */
 	step(step: ModelStep): void {
 		if (step.type === 'deliver' || step.type === 'drop') {
 			this._stepMessage(step);
 		} else if (step.type === 'run') {
 			this._run(step.ms);
-		} else if (step.type === 'mend') {
-			this._nodes.forEach(node => Object.assign(node, { cutIn: false, cutOut: false }));
+		} else if (step.type === 'reconnect') {
+			this._nodes.forEach(node => Object.assign(node, { dropsInbound: false, dropsOutbound: false }));
 		} else {
 			this._stepNode(step, this._nodes[step.node % this._nodes.length]!);
 		}
 		this._checkLeases();
 	}
 
-	/** Ends all faults and lets time pass; returns whether a new command could be committed. */
+	/** Ends all faults and advances the time; returns whether a new command could be committed. */
 	heal(): boolean {
 		for (const node of this._nodes) {
-			Object.assign(node, { frozenUntil: 0, crashesBeforeSync: false, cutIn: false, cutOut: false });
+			Object.assign(node, { frozenUntil: 0, crashesBeforeSync: false, dropsInbound: false, dropsOutbound: false });
 			if (!node.core) {
 				this._start(node);
 			}
 		}
-		const before = this._mostCommitted;
+		const committedBefore = this._maxCommittedIndex;
 		for (let round = 0; round < HEAL_ROUNDS; round++) {
 			this._run(ROUND_MS);
 			this._nodes.filter(node => node.core!.isBlank || !node.core!.isVoter).forEach(node => this._join(node));
@@ -150,10 +150,10 @@
 				this.step({ type: 'deliver', message: 0, copy: false });
 			}
 		}
-		return this._mostCommitted > before && leader !== undefined;
+		return this._maxCommittedIndex > committedBefore && leader !== undefined;
 	}
 
-	/** Rounds of ticks and deliveries; a message takes at least one round, so that a fault of the protocol ends too. */
+	/** Runs rounds of ticks and deliveries; replies wait for the next round, so that a message loop cannot hang the test. */
 	private _run(ms: number): void {
 		for (let left = ms; left > 0; left -= ROUND_MS) {
 			this._now += ROUND_MS;
@@ -177,7 +177,10 @@
 		}
 	}
 
-	private _stepNode(step: Exclude<ModelStep, { type: 'deliver' | 'drop' | 'run' | 'mend' }>, node: ModelNode): void {
+	private _stepNode(
+		step: Exclude<ModelStep, { type: 'deliver' | 'drop' | 'run' | 'reconnect' }>,
+		node: ModelNode
+	): void {
 		switch (step.type) {
 			case 'tick':
 				this._now += step.ms;
@@ -202,8 +205,8 @@
 			case 'freeze':
 				node.frozenUntil = this._now + FREEZE_MS;
 				return;
-			case 'cut':
-				Object.assign(node, { cutIn: true, cutOut: !step.oneWay });
+			case 'isolate':
+				Object.assign(node, { dropsInbound: true, dropsOutbound: !step.oneWay });
 				return;
 			case 'compact':
 				this._compact(node);
@@ -236,7 +239,7 @@
 		});
 	}
 
-	/** A small generator, so that a schedule says everything. */
+	/** Deterministic random numbers, so that a schedule alone reproduces a run. */
 	private _random(): number {
 		this._randomState = (this._randomState * 48271) % 2147483647;
 		return this._randomState / 2147483647;
@@ -249,7 +252,7 @@
 	private _deliver(message: AgreementMessage): void {
 		const node = this._nodes.find(item => item.id === message.to)!;
 		const sender = this._nodes.find(item => item.id === message.from)!;
-		if (node.cutIn || sender.cutOut) {
+		if (node.dropsInbound || sender.dropsOutbound) {
 			return;
 		}
 		this._perform(node, core => core.receive(message, this._now));
@@ -332,7 +335,7 @@
 			node.applied = entry.index;
 			this._checkCommitted(node, entry);
 		}
-		this._noteLeader(node);
+		this._recordLeader(node);
 	}
 
 	private _checkCommitted(node: ModelNode, entry: LogEntry): void {
@@ -340,10 +343,10 @@
 		const known = this._committed.get(entry.index);
 		assert.equal(known ?? text, text, `${node.id} commits another entry at ${entry.index}`);
 		this._committed.set(entry.index, text);
-		this._mostCommitted = Math.max(this._mostCommitted, entry.index);
+		this._maxCommittedIndex = Math.max(this._maxCommittedIndex, entry.index);
 	}
 
-	private _noteLeader(node: ModelNode): void {
+	private _recordLeader(node: ModelNode): void {
 		if (node.core?.role !== 'leader') {
 			return;
 		}
@@ -352,13 +355,13 @@
 		this._leaders.set(term, node.id);
 	}
 
-	/** Whoever may answer a read knows all that anybody knows to be committed. */
+	/** A replica that may answer reads must know everything that any replica knows to be committed. */
 	private _checkLeases(): void {
 		for (const node of this._running()) {
 			if (node.core!.hasLease(this._now)) {
 				assert.ok(
-					node.core!.commitIndex >= this._mostCommitted,
-					`${node.id} would answer a stale read: ${node.core!.commitIndex} of ${this._mostCommitted}`
+					node.core!.commitIndex >= this._maxCommittedIndex,
+					`${node.id} would answer a stale read: ${node.core!.commitIndex} of ${this._maxCommittedIndex}`
 				);
 			}
 		}
--- a/src/plugins/agreement/test/agreementTask.test.ts
+++ b/src/plugins/agreement/test/agreementTask.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A replica whose log is still being opened: other parts of the process may ask it already. */
+/** Queries of a replica whose log is still being opened. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,7 +17,7 @@
 	reload: () => []
 };
 
-test('before its log is open a replica leads nothing and is in touch with nobody', () => {
+test('before its log is open a replica has no lease and no contact with a leader', () => {
 	const calls = { handleUnary: () => undefined } as unknown as IPeerCalls;
 	const task = new AgreementTask(SETTINGS, calls, {} as ILogService);
 	assert.equal(task.hasLease(), false);
@@ -25,11 +25,8 @@
 	task.dispose();
 });
 
-/**
- * A timer of another part asked for the state while a slow disk still opened the log; the error ended the process, and
- * whoever waited for it to vote again waited without end.
- */
-test('before its log is open a replica tells that it follows nobody and knows no members', () => {
+/** Guards against an error that stops the process when another part queries the status before the log is open. */
+test('before its log is open a replica reports the role follower without a leader and without members', () => {
 	const calls = { handleUnary: () => undefined } as unknown as IPeerCalls;
 	const task = new AgreementTask(SETTINGS, calls, {} as ILogService);
 	const { id, role, term, leader, members } = task.status();
