--- a/src/plugins/agreement/node/agreementTask.ts
+++ b/src/plugins/agreement/node/agreementTask.ts
@@ -83,7 +83,7 @@
 	private _core!: AgreementCore;
 	private _identity!: ReplicaIdentity;
 	private _wasLeader = false;
-	private readonly _suspension = new SuspensionWatch();
+	private readonly _suspensionDetector = new SuspensionWatch();
 	/** Quorum contact before this time does not count for the lease. */
 	private _contactValidFrom: Millis = Number.NEGATIVE_INFINITY;
 
@@ -147,9 +147,11 @@
 	hasLease(): boolean {
 		const now = systemClock.now();
 		// The monotonic clock stops during a suspension, so the lease may seem valid although another leader was elected.
-		if (this._suspension.takeLeap()) {
+		if (this._suspensionDetector.takeLeap()) {
 			this._contactValidFrom = now;
-			this._log.warn('clock jump detected; lease invalid until the next quorum contact', { task: 'agreement' });
+			this._log.warn('machine may have been suspended; lease invalid until the next quorum contact', {
+				task: 'agreement'
+			});
 		}
 		return this._core?.hasLease(now, this._contactValidFrom) ?? false;
 	}
