--- a/src/plugins/routes/common/routeIndex.ts
+++ b/src/plugins/routes/common/routeIndex.ts
@@ -2,16 +2,16 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Finds the route of a request: the longest path prefix among the routes of its host. */
+/** Matches requests to routes by host and longest path prefix. */
 
 import type { Route, RouteTable, ServiceDefinition } from './routeTable.js';
 import { TeamIndex } from './teamIndex.js';
 
-/** A route table prepared for look-ups. */
+/** Index over a route table. */
 export class RouteIndex {
 	private readonly _byHost = new Map<string, Map<string, Route>>();
 	private readonly _services = new Map<string, ServiceDefinition>();
-	/** The teams; undefined where requests need no key. */
+	/** Undefined when requests need no key. */
 	readonly teams: TeamIndex | undefined;
 
 	constructor(readonly table: RouteTable) {
@@ -29,12 +29,12 @@
 	}
 
 	/**
-	 * The route of a request.
-	 * @param host host as the caller wrote it; a port behind it does not count
-	 * @param path path with or without a query
+	 * Returns the route with the longest matching path prefix.
+	 * @param host `Host` header as sent by the caller; a port and letter case are ignored
+	 * @param path request path; a query string is ignored
 	 */
 	find(host: string, path: string): Route | undefined {
-		const prefixes = this._byHost.get(hostName(host));
+		const prefixes = this._byHost.get(normalizeHost(host));
 		if (!prefixes) {
 			return undefined;
 		}
@@ -50,13 +50,12 @@
 		return undefined;
 	}
 
-	/** The definition of a service. */
 	service(name: string): ServiceDefinition | undefined {
 		return this._services.get(name);
 	}
 }
 
-function hostName(host: string): string {
+function normalizeHost(host: string): string {
 	const colon = host.indexOf(':');
 	return (colon < 0 ? host : host.slice(0, colon)).toLowerCase();
 }
--- a/src/plugins/routes/common/routeTable.ts
+++ b/src/plugins/routes/common/routeTable.ts
@@ -2,86 +2,86 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The routes, services and limits that operators publish as one versioned table. */
+/** The versioned table of routes, services, teams and limits that operators publish. */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** What may be done with a request of a route when its outcome is in doubt. */
+/** Whether a request may be retried when its outcome is unknown. */
 export enum RepeatRule {
-	/** It may run more than once. */
+	/** The request is idempotent and may run more than once. */
 	Repeatable = 'repeatable',
-	/** It runs at most once for each try of a caller. */
+	/** Each attempt of a caller runs at most once. */
 	AtMostOnce = 'at-most-once',
-	/** As `Repeatable`, with large answers. */
+	/** As `Repeatable`, with large responses. */
 	LargeAnswer = 'large-answer'
 }
 
-/** One of the services among which a route's requests are divided. */
+/** A service that receives a share of a route's requests. */
 export interface RoutePart {
 	readonly service: string;
-	/** Proportion against the other parts, 0 or more. */
+	/** Relative to the other services of the route; 0 or more. */
 	readonly weight: number;
 }
 
-/** One route: which requests it takes and how they are served. */
+/** A route: the requests it matches and how they are served. */
 export interface Route {
 	readonly name: string;
 	readonly host: string;
 	/** Begins and ends with a slash. */
 	readonly pathPrefix: string;
 	readonly repeatRule: RepeatRule;
-	/** Longest that a request is held. */
+	/** Maximum time from arrival of a request to its response. */
 	readonly timeoutMs: Millis;
-	/** Within this time an answer is worth most. */
+	/** Latency objective for responses. */
 	readonly objectiveMs: Millis;
-	/** 0 is the most urgent. */
+	/** Priority; 0 is the highest. */
 	readonly rank: number;
-	/** The services, at least one, with their proportions. */
+	/** Services that share the requests; at least one. */
 	readonly parts: readonly RoutePart[];
-	/** Most targets that one request may be sent to. */
+	/** Maximum number of targets that one request may be sent to. */
 	readonly attempts: number;
-	/** Whether a target that has seen an object lately is faster with it. */
+	/** Whether requests for an object prefer a target that served it recently, which answers faster. */
 	readonly isSticky: boolean;
-	/** Regions in which its requests may be served; empty means any. */
+	/** Regions in which its requests may be served; empty for any. */
 	readonly homeRegions: readonly string[];
-	/** Whether a request needs no team's key. */
+	/** Whether requests are accepted without a team key. */
 	readonly isPublic: boolean;
 }
 
-/** How many requests a team may send, over all instances together. */
+/** Rate limit of a team over all instances together. */
 export interface TeamLimit {
-	/** Requests a second, more than 0. */
+	/** Requests per second, more than 0. */
 	readonly perSecond: number;
-	/** Requests beyond the rate that may come at once. */
+	/** Requests that may exceed the rate at once. */
 	readonly burst: number;
 }
 
-/** A team: whoever holds one of its keys asks on its behalf. */
+/** A team, identified by any of its keys. */
 export interface Team {
 	readonly name: string;
-	/** Digests of its keys (`digestKey`); the keys themselves stay with whoever published the table. */
+	/** Digests of its keys, by `digestKey`; the table does not hold the keys themselves. */
 	readonly keyDigests: readonly string[];
-	/** 0 is the most urgent; it goes before the rank of the route. */
+	/** Priority; 0 is the highest. It takes precedence over the rank of the route. */
 	readonly rank: number;
-	/** Undefined for none. */
+	/** Undefined for no limit. */
 	readonly limit: TeamLimit | undefined;
-	/** Regions in which its requests may be served; empty means any. */
+	/** Regions in which its requests may be served; empty for any. */
 	readonly homeRegions: readonly string[];
 }
 
-/** One service and how its targets are to be treated. */
+/** A service and the properties of its targets. */
 export interface ServiceDefinition {
 	readonly name: string;
 	readonly healthPath: string;
-	/** Most connections that a target bears, from all instances together. */
+	/** Maximum number of connections to a target, from all instances together. */
 	readonly maxConnections: number;
-	/** How long a target is cold after its start. */
+	/** How long a target is cold after its start, with reduced capacity. */
 	readonly coldStartMs: Millis;
-	/** Requests a second that a cold target bears. */
+	/** Requests per second that a cold target can serve. */
 	readonly coldPerSecond: number;
 }
 
-/** What a caller may send, and for how long a connection may rest. */
+/** Limits on the requests and connections of callers. */
 export interface CallerLimits {
 	readonly maxHeaderBytes: number;
 	readonly maxBodyBytes: number;
@@ -89,13 +89,13 @@
 	readonly idleTimeoutMs: Millis;
 }
 
-/** Everything that operators publish at once. */
+/** The document that operators publish as a whole. */
 export interface RouteTable {
-	/** Grows with each published table. */
+	/** Increases with each published table. */
 	readonly version: number;
 	readonly routes: readonly Route[];
 	readonly services: readonly ServiceDefinition[];
-	/** The teams; undefined where requests need no key. */
+	/** Undefined when requests need no key. */
 	readonly teams: readonly Team[] | undefined;
 	readonly limits: CallerLimits;
 }
--- a/src/plugins/routes/common/teamAccess.ts
+++ b/src/plugins/routes/common/teamAccess.ts
@@ -2,48 +2,48 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Whether a request may be served, on behalf of which team, and where. */
+/** Authorizes requests by team key, and determines the regions in which they may be served. */
 
 import { RefusalReason } from '../../../base/verdict.js';
 import type { RouteIndex } from './routeIndex.js';
 import type { Route, Team } from './routeTable.js';
 
-/** A request that may be served. */
+/** The request may be served. */
 export interface GrantedAccess {
 	readonly isGranted: true;
-	/** The team on whose behalf; undefined for nobody's. */
+	/** Team of the key; undefined when no team is identified. */
 	readonly team: Team | undefined;
-	/** Regions in which it may be served; empty means any. */
+	/** Regions in which the request may be served; empty for any. */
 	readonly homeRegions: readonly string[];
 }
 
-/** A request that may not. */
+/** The request is refused. */
 export interface DeniedAccess {
 	readonly isGranted: false;
 	readonly reason: RefusalReason.UnknownKey | RefusalReason.NoHomeRegion;
 }
 
 /**
- * Decides by the table in force.
- * @param keyDigest digest of the key that the caller showed; undefined for none
+ * Checks a request against the given table.
+ * @param keyDigest digest of the caller's key; undefined for none
  */
 export function accessOf(
 	routes: RouteIndex,
 	route: Route,
 	keyDigest: string | undefined
 ): GrantedAccess | DeniedAccess {
-	const team = keyDigest === undefined ? undefined : routes.teams?.teamOf(keyDigest);
+	const team = keyDigest === undefined ? undefined : routes.teams?.findTeam(keyDigest);
 	if (routes.teams && !route.isPublic && !team) {
 		return { isGranted: false, reason: RefusalReason.UnknownKey };
 	}
-	const homeRegions = commonHomes(route.homeRegions, team?.homeRegions ?? []);
+	const homeRegions = intersectRegions(route.homeRegions, team?.homeRegions ?? []);
 	return homeRegions
 		? { isGranted: true, team, homeRegions }
 		: { isGranted: false, reason: RefusalReason.NoHomeRegion };
 }
 
-/** Regions that both allow, where empty allows any; undefined where they have none in common. */
-function commonHomes(first: readonly string[], second: readonly string[]): readonly string[] | undefined {
+/** Regions in both lists, where an empty list allows any region; undefined when there are none. */
+function intersectRegions(first: readonly string[], second: readonly string[]): readonly string[] | undefined {
 	if (first.length === 0 || second.length === 0) {
 		return first.length === 0 ? second : first;
 	}
--- a/src/plugins/routes/common/teamIndex.ts
+++ b/src/plugins/routes/common/teamIndex.ts
@@ -2,46 +2,42 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/**
- * Finds the team that holds a key. Tables carry digests of the keys only, so a key that a caller shows is known nowhere but
- * at the instance that it was shown to, and only while its request is read.
- */
+/** Looks up teams by the digest of their keys. Tables hold digests only, so keys are never stored or distributed. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { Team } from './routeTable.js';
 
-const DIGEST = 'sha256';
-const ENCODING = 'base64';
+const HASH_ALGORITHM = 'sha256';
+const DIGEST_ENCODING = 'base64';
 
-/** The digest of a key, as tables carry it. */
+/** Returns the SHA-256 digest of a key in base64, as stored in `Team.keyDigests`. */
 export function digestKey(key: string): string {
-	return createHash(DIGEST).update(key).digest(ENCODING);
+	return createHash(HASH_ALGORITHM).update(key).digest(DIGEST_ENCODING);
 }
 
-interface KnownKey {
+interface IndexedKey {
 	readonly digest: Buffer;
 	readonly team: Team;
 }
 
-/** The teams of one table by their keys. */
+/** Index of the teams of a table by key digest. */
 export class TeamIndex {
-	private readonly _byDigest = new Map<string, KnownKey>();
+	private readonly _byDigest = new Map<string, IndexedKey>();
 
 	constructor(teams: readonly Team[]) {
 		for (const team of teams) {
 			for (const digest of team.keyDigests) {
-				this._byDigest.set(digest, { digest: Buffer.from(digest, ENCODING), team });
+				this._byDigest.set(digest, { digest: Buffer.from(digest, DIGEST_ENCODING), team });
 			}
 		}
 	}
 
 	/**
-	 * The team of a key; undefined for one that nobody holds. Digests are compared in constant time, so that the time taken
-	 * tells nothing of keys that are held.
-	 * @param digest digest of what the caller showed
+	 * Returns the team of a key; undefined when no team has it. Digests are compared in constant time against timing attacks.
+	 * @param digest digest of the caller's key
 	 */
-	teamOf(digest: string): Team | undefined {
+	findTeam(digest: string): Team | undefined {
 		const known = this._byDigest.get(digest);
-		return known && timingSafeEqual(known.digest, Buffer.from(digest, ENCODING)) ? known.team : undefined;
+		return known && timingSafeEqual(known.digest, Buffer.from(digest, DIGEST_ENCODING)) ? known.team : undefined;
 	}
 }
--- a/src/plugins/routes/test/sampleTable.ts
+++ b/src/plugins/routes/test/sampleTable.ts
@@ -2,11 +2,11 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A sound route table for tests, which change what they are about. */
+/** A valid route table for tests to modify. */
 
 import { RepeatRule, type Route, type RouteTable, type Team } from '../common/routeTable.js';
 
-/** A route that asks for a key. */
+/** A route that needs a key. */
 export const SAMPLE_ROUTE: Route = {
 	name: 'r',
 	host: 'shop.example',
--- a/src/plugins/routes/test/teams.test.ts
+++ b/src/plugins/routes/test/teams.test.ts
@@ -2,14 +2,14 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Teams: whose key a request shows, and where it may be served. */
+/** Access by team key, home regions, and validation of team keys. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RefusalReason } from '../../../base/verdict.js';
 import { RouteIndex } from '../common/routeIndex.js';
 import type { Route, RouteTable, Team } from '../common/routeTable.js';
-import { checkRouteTable } from '../common/routeTableCheck.js';
+import { validateRouteTable } from '../common/routeTableValidation.js';
 import { accessOf } from '../common/teamAccess.js';
 import { digestKey } from '../common/teamIndex.js';
 import { SAMPLE_ROUTE, sampleTable } from './sampleTable.js';
@@ -26,7 +26,7 @@
 	return accessOf(new RouteIndex(table(teams)), { ...SAMPLE_ROUTE, ...route }, key && digestKey(key));
 }
 
-test('a key tells its team; unknown and missing ones are refused, unless the route is public', () => {
+test('a key identifies its team; unknown and missing keys are refused, unless the route is public', () => {
 	const teams = [team('a', ['k1', 'k2']), team('b', ['k3'])];
 	for (const [key, name] of [
 		['k1', 'a'],
@@ -43,12 +43,12 @@
 	}
 });
 
-test('a table without teams asks for no key; one whose teams hold no key lets nobody in', () => {
+test('a table without teams needs no key; a table whose teams have no keys refuses all requests', () => {
 	assert.equal(access(undefined, undefined).isGranted, true);
 	assert.equal(access([team('a', [])], 'k1').isGranted, false);
 });
 
-test('the homes of the route and of the team both bind, and none in common is a refusal of its own', () => {
+test('the home regions of route and team are intersected, and an empty intersection is refused', () => {
 	const teams = [team('a', ['k'], { homeRegions: ['north', 'south'] })];
 	const homesOf = (homeRegions: readonly string[]): unknown => {
 		const result = access(teams, 'k', { homeRegions });
@@ -59,10 +59,10 @@
 	assert.equal(homesOf(['central']), RefusalReason.NoHomeRegion);
 });
 
-test('two teams with one key are a fault that names both and shows no key', () => {
-	const [fault] = checkRouteTable(table([team('a', ['secret']), team('b', ['secret'])]));
-	assert.match(`${fault?.field} ${fault?.allowed}`, /'b'.*'a'/);
-	assert.doesNotMatch(JSON.stringify(fault), /secret/);
-	assert.deepEqual(checkRouteTable(table([team('a', ['k', 'k'])])), []);
-	assert.equal(checkRouteTable(table([team('a', ['k']), team('a', ['l'])])).length, 1);
+test('a key of two teams is an issue that names both teams and does not contain the key', () => {
+	const [issue] = validateRouteTable(table([team('a', ['secret']), team('b', ['secret'])]));
+	assert.match(`${issue?.field} ${issue?.allowed}`, /'b'.*'a'/);
+	assert.doesNotMatch(JSON.stringify(issue), /secret/);
+	assert.deepEqual(validateRouteTable(table([team('a', ['k', 'k'])])), []);
+	assert.equal(validateRouteTable(table([team('a', ['k']), team('a', ['l'])])).length, 1);
 });
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The platform's bounds reach the product, and what can't be read as bounds is refused. */
+/** Bounds of the platform take effect, and malformed bounds are refused. */
 
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -11,7 +11,7 @@
 import * as z from 'zod/mini';
 import { ProcessKind } from '../../src/kernel/common/pluginRegistry.js';
 import { settingsRegistry } from '../../src/kernel/common/settingsRegistry.js';
-import { type PlatformSettings, serviceBounds } from '../../platform/platformSettings.js';
+import { type PlatformSettings, readServiceBounds } from '../../platform/platformSettings.js';
 import { OUT_FOLDER } from '../local/childProcess.js';
 
 const BOUNDS = 'retry_ratio=0.2,retry_window=10s,retry_slack=198,max_shift=0.15,grace=10s,strict_revoke=false';
@@ -22,18 +22,18 @@
 	return { bounds: z.parse(schema, text) as PlatformSettings['bounds'] };
 }
 
-test('bounds that the platform sets are the ones in force', () => {
-	const bounds = serviceBounds(readBounds(BOUNDS));
+test('bounds set by the platform take effect', () => {
+	const bounds = readServiceBounds(readBounds(BOUNDS));
 	assert.equal(bounds.retries.slack, 198);
 	assert.equal(bounds.stopGraceMs, 10000);
 });
 
-test('bounds in another writing are refused, not passed over', () => {
+test('malformed bounds are refused, not ignored', () => {
 	assert.throws(() => readBounds('{"retry_slack":198,"grace":"10s"}'), /NAME=VALUE/);
 	assert.throws(() => readBounds('retry_slack'), /NAME=VALUE/);
 });
 
-test('the templates write each bound as a name and its value', () => {
+test('the deployment templates write each bound as NAME=VALUE', () => {
 	for (const file of ['entry.ini', 'control.ini']) {
 		const text = readFileSync(join(OUT_FOLDER, '..', 'deploy', file), 'utf8');
 		assert.match(text, /^bounds = \{\{#bounds\}\}\{\{@\}\}=\{\{\.\}\}\{\{,\}\}\{\{\/bounds\}\}$/m, file);
