--- a/src/plugins/steering/common/blockTable.ts
+++ b/src/plugins/steering/common/blockTable.ts
@@ -3,75 +3,75 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Which site is home for a block of client addresses: sorted ranges in typed arrays, cut into chunks so that a change
- * copies only the chunks it touches. A look-up is two binary searches; there is no object per block.
+ * Maps IPv4 address ranges to sites. Sorted ranges are kept in typed arrays and split into chunks, so that a change copies
+ * only the chunks it affects. A look-up uses an index by address prefix, a short scan of chunks, and a binary search.
  */
 
-/** Most ranges in one chunk; a change copies at most a few chunks of this size. */
-const CHUNK_RANGES = 2048;
-/** Changes applied in one go before the event loop gets a turn. */
-const CHANGES_PER_TURN = 50;
-/** Site of addresses that are in no range. */
+/** Number of ranges in a new chunk; a chunk is split when it exceeds twice this size. */
+const RANGES_PER_CHUNK = 2048;
+/** Changes applied before yielding to the event loop. */
+const CHANGES_PER_BATCH = 50;
+/** Site of addresses that belong to no range. */
 export const NO_SITE = 255;
 
 const ADDRESS_SPACE = 2 ** 32;
-const RANK_SHIFT = 16;
-const RANK_SIZE = 2 ** 16;
+const PREFIX_SHIFT = 16;
+const PREFIX_COUNT = 2 ** 16;
 
-/** Addresses `from` (included) to `to` (excluded) belong to a site. */
-export interface BlockChange {
+/** Assigns the addresses `from` (inclusive) to `to` (exclusive) to a site. */
+export interface AddressRangeChange {
 	readonly from: number;
 	readonly to: number;
 	/** 0 to 254, or `NO_SITE`. */
 	readonly site: number;
 }
 
-/** A run of ranges: range i goes from `starts[i]` to the next start. */
+/** Consecutive ranges; range i goes from `starts[i]` to the next start. */
 interface Chunk {
 	readonly starts: Uint32Array;
 	readonly sites: Uint8Array;
 }
 
-/** An immutable table; a change makes a new one that shares the chunks it leaves alone. */
+/** Immutable table of address ranges; a changed table shares the unchanged chunks. */
 export class BlockTable {
 	/**
-	 * @param _firstStarts first start of each chunk
-	 * @param _rank for each value of the upper 16 bits, the chunk in which a look-up begins
+	 * @param _firstStarts first range start of each chunk
+	 * @param _chunkByPrefix for each value of the upper 16 address bits, the index of the chunk in which a look-up begins; -1 for none
 	 */
 	private constructor(
 		private readonly _chunks: readonly Chunk[],
 		private readonly _firstStarts: Uint32Array,
-		private readonly _rank: Int32Array
+		private readonly _chunkByPrefix: Int32Array
 	) {}
 
 	/**
-	 * Builds a table of ranges that each go to the next one's start.
-	 * @param starts ascending, without repetition
-	 * @param sites the site of each range
+	 * Builds a table of contiguous ranges, each of which ends at the start of the next.
+	 * @param starts first address of each range, strictly ascending
+	 * @param sites site of each range
 	 */
 	static fromSorted(starts: Uint32Array, sites: Uint8Array): BlockTable {
 		const chunks: Chunk[] = [];
-		for (let i = 0; i < starts.length; i += CHUNK_RANGES) {
-			chunks.push({ starts: starts.slice(i, i + CHUNK_RANGES), sites: sites.slice(i, i + CHUNK_RANGES) });
+		for (let i = 0; i < starts.length; i += RANGES_PER_CHUNK) {
+			chunks.push({ starts: starts.slice(i, i + RANGES_PER_CHUNK), sites: sites.slice(i, i + RANGES_PER_CHUNK) });
 		}
-		return BlockTable._of(chunks);
+		return BlockTable._fromChunks(chunks);
 	}
 
-	/** Number of ranges. */
+	/** Number of ranges in the table. */
 	get size(): number {
 		return this._chunks.reduce((sum, chunk) => sum + chunk.starts.length, 0);
 	}
 
-	/** Bytes of the arrays. */
+	/** Size of the typed arrays in bytes. */
 	get byteLength(): number {
 		const chunks = this._chunks.reduce((sum, chunk) => sum + chunk.starts.byteLength + chunk.sites.byteLength, 0);
-		return chunks + this._firstStarts.byteLength + this._rank.byteLength;
+		return chunks + this._firstStarts.byteLength + this._chunkByPrefix.byteLength;
 	}
 
-	/** The site of an address, given as an unsigned integer of 32 bits. */
+	/** Returns the site of an IPv4 address, given as an unsigned 32-bit integer; `NO_SITE` for none. */
 	lookUp(address: number): number {
 		const firstStarts = this._firstStarts;
-		let index = this._rank[address >>> RANK_SHIFT]!;
+		let index = this._chunkByPrefix[address >>> PREFIX_SHIFT]!;
 		while (index + 1 < firstStarts.length && firstStarts[index + 1]! <= address) {
 			index++;
 		}
@@ -79,35 +79,35 @@
 		if (!chunk) {
 			return NO_SITE;
 		}
-		return chunk.sites[lastNotAbove(chunk.starts, address)] ?? NO_SITE;
+		return chunk.sites[lastIndexAtOrBelow(chunk.starts, address)] ?? NO_SITE;
 	}
 
-	/** The table after changes; the event loop gets a turn after each few hundred of them. */
-	async withChanges(changes: readonly BlockChange[]): Promise<BlockTable> {
+	/** Returns a table with the changes applied in order, yielding to the event loop after each batch. */
+	async withChanges(changes: readonly AddressRangeChange[]): Promise<BlockTable> {
 		let chunks = [...this._chunks];
-		for (let i = 0; i < changes.length; i += CHANGES_PER_TURN) {
-			chunks = applyChanges(chunks, changes.slice(i, i + CHANGES_PER_TURN));
+		for (let i = 0; i < changes.length; i += CHANGES_PER_BATCH) {
+			chunks = applyChanges(chunks, changes.slice(i, i + CHANGES_PER_BATCH));
 			await new Promise(resolve => setImmediate(resolve));
 		}
-		return BlockTable._of(chunks);
+		return BlockTable._fromChunks(chunks);
 	}
 
-	private static _of(chunks: readonly Chunk[]): BlockTable {
+	private static _fromChunks(chunks: readonly Chunk[]): BlockTable {
 		const firstStarts = Uint32Array.from(chunks, chunk => chunk.starts[0]!);
-		const rank = new Int32Array(RANK_SIZE);
+		const chunkByPrefix = new Int32Array(PREFIX_COUNT);
 		let index = -1;
-		for (let prefix = 0; prefix < RANK_SIZE; prefix++) {
-			while (index + 1 < firstStarts.length && firstStarts[index + 1]! <= prefix * 2 ** RANK_SHIFT) {
+		for (let prefix = 0; prefix < PREFIX_COUNT; prefix++) {
+			while (index + 1 < firstStarts.length && firstStarts[index + 1]! <= prefix * 2 ** PREFIX_SHIFT) {
 				index++;
 			}
-			rank[prefix] = index;
+			chunkByPrefix[prefix] = index;
 		}
-		return new BlockTable(chunks, firstStarts, rank);
+		return new BlockTable(chunks, firstStarts, chunkByPrefix);
 	}
 }
 
-/** Parses an IPv4 address into an unsigned integer; undefined when it is none. */
-export function addressToNumber(text: string): number | undefined {
+/** Parses an IPv4 address into an unsigned 32-bit integer; undefined for other text. */
+export function parseIpv4Address(text: string): number | undefined {
 	let value = 0;
 	const parts = text.split('.');
 	for (const part of parts) {
@@ -116,8 +116,8 @@
 	return parts.length === 4 && Number.isInteger(value) && value < ADDRESS_SPACE ? value : undefined;
 }
 
-/** Index of the last element not above a value; -1 when all are above. */
-function lastNotAbove(sorted: Uint32Array, value: number): number {
+/** Returns the index of the last element at or below a value; -1 when there is none. */
+function lastIndexAtOrBelow(sorted: Uint32Array, value: number): number {
 	let low = 0;
 	let high = sorted.length;
 	while (low < high) {
@@ -131,33 +131,33 @@
 	return low - 1;
 }
 
-function applyChanges(chunks: Chunk[], changes: readonly BlockChange[]): Chunk[] {
+function applyChanges(chunks: Chunk[], changes: readonly AddressRangeChange[]): Chunk[] {
 	for (const change of changes) {
 		applyChange(chunks, change);
 	}
 	return chunks;
 }
 
-/** Replaces the chunks that a change touches by one with the change in it, cut again when it grew too long. */
-function applyChange(chunks: Chunk[], change: BlockChange): void {
+/** Merges the affected chunks with the change, and splits the result when it is too long. */
+function applyChange(chunks: Chunk[], change: AddressRangeChange): void {
 	const first = Math.max(0, chunkIndexOf(chunks, change.from));
 	const last = Math.max(first, chunkIndexOf(chunks, change.to));
 	const starts: number[] = [];
 	const sites: number[] = [];
-	const push = (start: number, site: number): void => {
+	const appendRange = (start: number, site: number): void => {
 		if (sites.at(-1) !== site) {
 			starts.push(start);
 			sites.push(site);
 		}
 	};
-	let siteBefore = NO_SITE;
-	let siteAtEnd = NO_SITE;
-	let isPlaced = false;
-	const place = (): void => {
-		isPlaced = true;
-		push(change.from, change.site);
+	let siteBeforeChange = NO_SITE;
+	let siteAtChangeEnd = NO_SITE;
+	let isInserted = false;
+	const insertChange = (): void => {
+		isInserted = true;
+		appendRange(change.from, change.site);
 		if (change.to < ADDRESS_SPACE) {
-			push(change.to, siteAtEnd);
+			appendRange(change.to, siteAtChangeEnd);
 		}
 	};
 	for (const chunk of chunks.slice(first, last + 1)) {
@@ -165,24 +165,24 @@
 			const start = chunk.starts[i]!;
 			const site = chunk.sites[i]!;
 			if (start < change.from) {
-				push(start, site);
-				siteBefore = site;
-				siteAtEnd = site;
+				appendRange(start, site);
+				siteBeforeChange = site;
+				siteAtChangeEnd = site;
 			} else if (start <= change.to) {
-				siteAtEnd = site;
+				siteAtChangeEnd = site;
 			} else {
-				if (!isPlaced) {
-					place();
+				if (!isInserted) {
+					insertChange();
 				}
-				push(start, site);
+				appendRange(start, site);
 			}
 		}
 	}
-	if (!isPlaced) {
-		siteAtEnd = siteAtEnd === NO_SITE ? siteBefore : siteAtEnd;
-		place();
+	if (!isInserted) {
+		siteAtChangeEnd = siteAtChangeEnd === NO_SITE ? siteBeforeChange : siteAtChangeEnd;
+		insertChange();
 	}
-	chunks.splice(first, last - first + 1, ...cut(starts, sites));
+	chunks.splice(first, last - first + 1, ...splitIntoChunks(starts, sites));
 }
 
 function chunkIndexOf(chunks: readonly Chunk[], address: number): number {
@@ -199,10 +199,10 @@
 	return low - 1;
 }
 
-function cut(starts: readonly number[], sites: readonly number[]): Chunk[] {
-	const parts = Math.ceil(starts.length / (CHUNK_RANGES * 2));
-	const length = Math.ceil(starts.length / parts);
-	return Array.from({ length: parts }, (_unused, i) => ({
+function splitIntoChunks(starts: readonly number[], sites: readonly number[]): Chunk[] {
+	const chunkCount = Math.ceil(starts.length / (RANGES_PER_CHUNK * 2));
+	const length = Math.ceil(starts.length / chunkCount);
+	return Array.from({ length: chunkCount }, (_unused, i) => ({
 		starts: Uint32Array.from(starts.slice(i * length, (i + 1) * length)),
 		sites: Uint8Array.from(sites.slice(i * length, (i + 1) * length))
 	}));
--- a/src/plugins/steering/common/entryRanking.ts
+++ b/src/plugins/steering/common/entryRanking.ts
@@ -2,25 +2,25 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Orders the entry instances for one client, best first. Pure. */
+/** Ranks the entry instances for a client. */
 
 import { hash32, rendezvousRank } from '../../../base/hashing.js';
 import { BUCKET_COUNT, type ConfigurationTable, DrainScope } from '../../configuration/common/configuration.js';
 import type { DirectoryEntry } from '../../membership/common/entryReport.js';
 
-/** Who asks, and for what. */
-export interface LookupQuestion {
+/** Client and preferences by which instances are ranked. */
+export interface RankingCriteria {
 	readonly service: string;
 	readonly group: string;
-	/** What the client is recognised by, such as its block of addresses. */
+	/** Key that identifies the client, such as its address block. */
 	readonly clientKey: string;
-	/** Region that its group's placement sends it to. */
+	/** Region to which the placement of the group assigns the client. */
 	readonly region: string;
-	/** Data hall to prefer above all, when the instance is cut off from the others. */
-	readonly onlySureHall?: string;
+	/** Data hall that takes precedence over the region; set when the instance has no contact to control. */
+	readonly preferredHall?: string;
 }
 
-/** One entry of the answer. */
+/** An entry instance in a look-up result. */
 export interface RankedEntry {
 	readonly instance: string;
 	readonly hall: string;
@@ -28,12 +28,12 @@
 	readonly url: string;
 }
 
-/** The bucket of a group's clients that a client falls into, 0 to 999. */
+/** Returns the bucket of a client within its group, 0 to `BUCKET_COUNT` - 1. */
 export function bucketOf(group: string, clientKey: string): number {
 	return hash32(`${group}|${clientKey}`) % BUCKET_COUNT;
 }
 
-/** Whether an instance takes new work. */
+/** Whether an instance accepts new requests: neither it, its data hall nor its region is being drained. */
 export function isAvailable(entry: DirectoryEntry, table: ConfigurationTable): boolean {
 	const { instance, hall, region } = entry.identity;
 	return !(
@@ -44,23 +44,23 @@
 	);
 }
 
-/** Orders the available instances: the wanted region first, then spread by client. */
+/** Returns the available instances, best first: preferred data hall, then region, then rendezvous hash of the client key. */
 export function rankEntries(
-	question: LookupQuestion,
+	criteria: RankingCriteria,
 	entries: readonly DirectoryEntry[],
 	table: ConfigurationTable
 ): RankedEntry[] {
 	const available = entries.filter(entry => isAvailable(entry, table));
-	const order = rendezvousRank(
-		question.clientKey,
+	const clientOrder = rendezvousRank(
+		criteria.clientKey,
 		available.map(entry => entry.identity.instance)
 	);
 	const score = (entry: DirectoryEntry): number => {
 		const { hall, region, instance } = entry.identity;
-		const isSure = question.onlySureHall === undefined || question.onlySureHall === hall;
-		const classes = [isSure, region === question.region];
-		const rank = classes.reduce((sum, fits) => sum * 2 + (fits ? 0 : 1), 0);
-		return rank * available.length + order.indexOf(instance);
+		const isPreferredHall = criteria.preferredHall === undefined || criteria.preferredHall === hall;
+		const preferences = [isPreferredHall, region === criteria.region];
+		const rank = preferences.reduce((sum, isMet) => sum * 2 + (isMet ? 0 : 1), 0);
+		return rank * available.length + clientOrder.indexOf(instance);
 	};
 	return [...available]
 		.sort((a, b) => score(a) - score(b))
--- a/src/plugins/steering/common/placementPacer.ts
+++ b/src/plugins/steering/common/placementPacer.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Keeps an entry instance under the cap of every group, whatever it missed: an instance that was cut off and comes back
- * to a placement several stages ahead goes there a window at a time. Pure: time is passed in.
+ * Applies placement changes within the cap of each group per time window, also when an instance was disconnected and missed
+ * several stages of a change. Callers pass the current time.
  */
 
 import type { Millis } from '../../../base/clock.js';
@@ -16,39 +16,39 @@
 } from '../../configuration/common/configuration.js';
 import { countMoved, moveTowards } from '../../configuration/common/placementBuckets.js';
 
-/** Buckets of one group's clients of one home that moved at a time. */
-interface PastMove {
+/** Number of buckets moved at one time. */
+interface RecentMove {
 	readonly at: Millis;
 	readonly buckets: number;
 }
 
-/** One group and home, on the way to what is configured. */
+/** Placement of one group and home region, in effect and as configured. */
 interface PacedPlacement {
 	effective: Placement;
 	target: Placement;
-	pastMoves: PastMove[];
+	recentMoves: RecentMove[];
 }
 
-/** The placements in effect at one entry instance. */
+/** Placements in effect at one entry instance. */
 export class PlacementPacer {
 	private readonly _paced = new Map<string, PacedPlacement>();
 	private _groups = new Map<string, GroupConfiguration>();
 	private _targetRevision: Revision = 0;
-	private _inForce: Revision = 0;
-	private _isFirst = true;
+	private _revisionInForce: Revision = 0;
+	private _isFirstConfiguration = true;
 
-	/** Revision that is wholly in effect. */
+	/** Latest revision that is fully in effect. */
 	get revisionInForce(): Revision {
-		return this._inForce;
+		return this._revisionInForce;
 	}
 
-	/** The placement in effect for a group's clients of one home region. */
+	/** The placement in effect for the clients of a group with the given home region. */
 	placement(group: string, home: string): Placement {
 		return this._paced.get(`${group}|${home}`)?.effective ?? { group, home, ranges: [] };
 	}
 
-	/** Takes a new configuration. The first one after a start is in effect at once: nobody was steered here before. */
-	take(table: ConfigurationTable, now: Millis): void {
+	/** Sets the configuration to move to. The first one after a start takes effect at once, as no clients were placed before. */
+	applyConfiguration(table: ConfigurationTable, now: Millis): void {
 		this._groups = new Map(table.groups.map(group => [group.name, group]));
 		this._targetRevision = table.revision;
 		const targets = new Map(table.placements.map(item => [`${item.group}|${item.home}`, item]));
@@ -57,44 +57,44 @@
 		}
 		for (const [key, target] of targets) {
 			if (!this._paced.has(key)) {
-				const effective = this._isFirst ? target : { ...target, ranges: [] };
-				this._paced.set(key, { effective, target, pastMoves: [] });
+				const effective = this._isFirstConfiguration ? target : { ...target, ranges: [] };
+				this._paced.set(key, { effective, target, recentMoves: [] });
 			}
 		}
-		this._isFirst = false;
+		this._isFirstConfiguration = false;
 		this.advance(now);
 	}
 
-	/** Moves what may move now; returns whether the revision in force changed. */
+	/** Moves as many buckets as the caps allow now; returns whether the revision in force changed. */
 	advance(now: Millis): boolean {
-		if (this._inForce === this._targetRevision) {
+		if (this._revisionInForce === this._targetRevision) {
 			return false;
 		}
-		let isWhole = true;
+		let isComplete = true;
 		for (const paced of this._paced.values()) {
-			this._advanceOne(paced, now);
-			isWhole &&= countMoved(paced.effective, paced.target) === 0;
+			this._advancePlacement(paced, now);
+			isComplete &&= countMoved(paced.effective, paced.target) === 0;
 		}
-		if (isWhole) {
-			this._inForce = this._targetRevision;
+		if (isComplete) {
+			this._revisionInForce = this._targetRevision;
 		}
-		return isWhole;
+		return isComplete;
 	}
 
-	private _advanceOne(paced: PacedPlacement, now: Millis): void {
-		const wanted = countMoved(paced.effective, paced.target);
-		if (wanted === 0) {
+	private _advancePlacement(paced: PacedPlacement, now: Millis): void {
+		const remaining = countMoved(paced.effective, paced.target);
+		if (remaining === 0) {
 			return;
 		}
 		const group = this._groups.get(paced.target.group);
 		const windowMs = group?.capWindowMs ?? 0;
-		paced.pastMoves = paced.pastMoves.filter(move => now - move.at < windowMs);
-		const moved = paced.pastMoves.reduce((sum, move) => sum + move.buckets, 0);
-		const allowed = Math.min(wanted, (group?.capPermille ?? wanted) - moved);
+		paced.recentMoves = paced.recentMoves.filter(move => now - move.at < windowMs);
+		const moved = paced.recentMoves.reduce((sum, move) => sum + move.buckets, 0);
+		const allowed = Math.min(remaining, (group?.capPermille ?? remaining) - moved);
 		if (allowed <= 0) {
 			return;
 		}
 		paced.effective = moveTowards(paced.effective, paced.target, allowed);
-		paced.pastMoves.push({ at: now, buckets: allowed });
+		paced.recentMoves.push({ at: now, buckets: allowed });
 	}
 }
--- a/src/plugins/steering/common/steering.ts
+++ b/src/plugins/steering/common/steering.ts
@@ -2,28 +2,31 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What other features of an entry instance see of the steering. */
+/** Service interface for look-ups at an entry instance. */
 
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { RankedEntry } from './entryRanking.js';
 
-/** An answer to a look-up. */
-export interface LookupAnswer {
+/** Result of a look-up. */
+export interface LookupResult {
+	/** Configuration revision in force at this instance. */
 	readonly revision: number;
+	/** How long callers may cache the result. */
 	readonly ttlSeconds: number;
+	/** Available entry instances, best first. */
 	readonly entries: readonly RankedEntry[];
 }
 
-/** Answers look-ups. */
+/** Selects entry instances for clients. */
 export interface ISteering {
 	/**
-	 * Answers a look-up; undefined when this instance has no configuration yet.
+	 * Ranks the entry instances for a client; undefined when this instance has no usable configuration.
 	 * @param client IPv4 address of the client
 	 */
-	lookUp(service: string, group: string, client: string): LookupAnswer | undefined;
-	/** How long callers may cache a look-up, in milliseconds. */
+	lookUp(service: string, group: string, client: string): LookupResult | undefined;
+	/** How long callers may cache the result of a look-up, in milliseconds. */
 	readonly lookupTtlMs: number;
 }
 
-/** Identifier of the steering. */
+/** Service identifier of the steering service. */
 export const ISteering = createServiceIdentifier<ISteering>('steering');
--- a/src/plugins/steering/steering.plugin.ts
+++ b/src/plugins/steering/steering.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the steering. */
+/** Registers the steering service. */
 
 import { pluginRegistry } from '../../kernel/common/pluginRegistry.js';
 import { ISteering } from './common/steering.js';
--- a/src/plugins/steering/test/blockTable.test.ts
+++ b/src/plugins/steering/test/blockTable.test.ts
@@ -2,12 +2,12 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The block table against a plain array, by random changes. */
+/** Compares the table with a plain array under random changes. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { addressToNumber, BlockTable, NO_SITE } from '../common/blockTable.js';
+import { parseIpv4Address, BlockTable, NO_SITE } from '../common/blockTable.js';
 
 const SPACE = 6000;
 
@@ -18,7 +18,7 @@
 	{ maxLength: 40 }
 );
 
-test('a changed table answers like a plain array of addresses', async () => {
+test('a changed table returns the same sites as a plain array', async () => {
 	await fc.assert(
 		fc.asyncProperty(changes, async list => {
 			const plain = Array.from({ length: SPACE + 10 }, (_unused, address) => address % 7);
@@ -34,11 +34,11 @@
 	);
 });
 
-test('addresses below the first range have no site, and only IPv4 addresses are read', () => {
+test('addresses below the first range have no site, and only IPv4 addresses are parsed', () => {
 	const table = BlockTable.fromSorted(Uint32Array.of(100), Uint8Array.of(3));
 	assert.equal(table.lookUp(99), NO_SITE);
 	assert.equal(table.lookUp(0xffffffff), 3);
-	assert.equal(addressToNumber('10.0.0.255'), 0x0a0000ff);
-	assert.equal(addressToNumber('10.0.0'), undefined);
-	assert.equal(addressToNumber('10.0.0.x'), undefined);
+	assert.equal(parseIpv4Address('10.0.0.255'), 0x0a0000ff);
+	assert.equal(parseIpv4Address('10.0.0'), undefined);
+	assert.equal(parseIpv4Address('10.0.0.x'), undefined);
 });
--- a/src/plugins/steering/test/placementPacer.test.ts
+++ b/src/plugins/steering/test/placementPacer.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The pacer: an instance that missed stages goes through them a window each. */
+/** An instance that missed stages of a placement change must still respect the cap per window. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -20,11 +20,11 @@
 	return new ConfigurationTable({ revision, groups: [group], placements: [{ ...HOME, ranges }], leaving: [] });
 }
 
-test('from stage 0 to stage 5 at once it takes a window a stage, and only then says that it is in force', () => {
+test('a jump from stage 0 to stage 5 takes one window per stage, and the revision is in force only afterwards', () => {
 	const pacer = new PlacementPacer();
-	pacer.take(table(1, 0), 0);
+	pacer.applyConfiguration(table(1, 0), 0);
 	assert.equal(pacer.revisionInForce, 1);
-	pacer.take(table(6, 500), 0);
+	pacer.applyConfiguration(table(6, 500), 0);
 	for (let now = 0; now < 4000; now += 50) {
 		pacer.advance(now);
 		const stages = Math.floor(now / WINDOW_MS) + 1;
@@ -36,8 +36,8 @@
 	assert.equal(pacer.revisionInForce, 6);
 });
 
-test('the first configuration after a start is in effect at once', () => {
+test('the first configuration after a start takes effect at once', () => {
 	const pacer = new PlacementPacer();
-	pacer.take(table(6, 500), 0);
+	pacer.applyConfiguration(table(6, 500), 0);
 	assert.equal(pacer.revisionInForce, 6);
 });
