--- a/src/plugins/membership/common/entryMembership.ts
+++ b/src/plugins/membership/common/entryMembership.ts
@@ -2,32 +2,32 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What other features of a control instance see of the entry instances. */
+/** Service interface for the entry instances known to a control instance. */
 
 import type { Event } from '../../../base/event.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { KnownEntry } from './entryRegistry.js';
 import type { Directory, EntryReport, RegionLoads } from './entryReport.js';
 
-/** The entry instances, as this control instance knows them; complete on the leader. */
+/** The entry instances known to this control instance; only the leader receives the reports of all of them. */
 export interface IEntryMembership {
-	/** Fires after each report that this instance learned of. */
+	/** Fires after each report that reached this instance, directly or through another control instance. */
 	readonly onDidReport: Event<EntryReport>;
-	/** Fires when there is a newer directory. */
+	/** Fires when a newer directory is made or received. */
 	readonly onDidChangeDirectory: Event<Directory>;
 	/** The newest directory known here. */
 	readonly directory: Directory | undefined;
 	/** The newest loads known here, by region. */
 	readonly loads: readonly RegionLoads[];
-	/** Takes a report that came over a session with this control instance. */
+	/** Records a report received over a session with this control instance, and forwards it to the leader. */
 	accept(report: EntryReport): void;
-	/** Instances heard from lately. */
+	/** Instances whose last report is within the timeout, by name. */
 	live(): KnownEntry[];
-	/** Instances that fell silent but are not forgotten. */
+	/** Instances whose last report is older than the timeout but within the retention period, by name. */
 	silent(): KnownEntry[];
-	/** Milliseconds since this instance last was, or heard from, a leader with a lease. */
+	/** Milliseconds since this instance last was, or had contact with, a leader that holds a lease. */
 	leaderContactAge(): number;
 }
 
-/** Identifier of the entry membership. */
+/** Service identifier of the entry membership. */
 export const IEntryMembership = createServiceIdentifier<IEntryMembership>('entryMembership');
--- a/src/plugins/membership/common/entryRegistry.ts
+++ b/src/plugins/membership/common/entryRegistry.ts
@@ -2,57 +2,57 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The leader's view of the entry instances: what each reported last and when. Pure: time is passed in. */
+/** Latest report of each entry instance and its time. Callers pass the current time. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { Directory, DirectoryEntry, EntryReport, RegionLoads } from './entryReport.js';
 
-/** One instance with the time of its last report. */
+/** One entry instance with its last report. */
 export interface KnownEntry {
 	readonly report: EntryReport;
 	readonly heardAt: Millis;
-	/** The same object as long as the instance stays the same, so that directories can be compared quickly. */
+	/** Stays the same object while the entry is unchanged, so that directories can be compared by reference. */
 	readonly directoryEntry: DirectoryEntry;
 }
 
-/** Reports by instance, with those that fell silent told apart from those that are gone. */
+/** Registry of the entry instances by name. */
 export class EntryRegistry {
-	private readonly _known = new Map<string, KnownEntry>();
+	private readonly _entries = new Map<string, KnownEntry>();
 
 	/**
-	 * @param _silentAfterMs without a report for this long an instance counts as cut off
-	 * @param _forgetAfterMs without a report for this long it is no longer waited for
+	 * @param _timeoutMs an instance without a report for this long counts as silent
+	 * @param _retentionMs an instance without a report for this long is removed
 	 */
 	constructor(
-		private readonly _silentAfterMs: Millis,
-		private readonly _forgetAfterMs: Millis
+		private readonly _timeoutMs: Millis,
+		private readonly _retentionMs: Millis
 	) {}
 
-	/** Takes a report; one that is older than what is known is dropped. */
-	record(report: EntryReport, heardAt: Millis): void {
-		const known = this._known.get(report.identity.instance);
-		if (!known || heardAt >= known.heardAt) {
+	/** Records a report, unless a later one is recorded already. */
+	record(report: EntryReport, now: Millis): void {
+		const known = this._entries.get(report.identity.instance);
+		if (!known || now >= known.heardAt) {
 			const directoryEntry =
-				known && isSameEntry(known.directoryEntry, report) ? known.directoryEntry : toEntry(report);
-			this._known.set(report.identity.instance, { report, heardAt, directoryEntry });
+				known && isSameEntry(known.directoryEntry, report) ? known.directoryEntry : toDirectoryEntry(report);
+			this._entries.set(report.identity.instance, { report, heardAt: now, directoryEntry });
 		}
 	}
 
-	/** Instances heard from lately. */
+	/** Instances whose last report is within the timeout. */
 	live(now: Millis): KnownEntry[] {
-		return this._where(now, age => age < this._silentAfterMs);
+		return this._filterByAge(now, age => age < this._timeoutMs);
 	}
 
-	/** Instances not heard from lately, but not forgotten. */
+	/** Instances whose last report is older than the timeout but within the retention period. */
 	silent(now: Millis): KnownEntry[] {
-		return this._where(now, age => age >= this._silentAfterMs && age < this._forgetAfterMs);
+		return this._filterByAge(now, age => age >= this._timeoutMs && age < this._retentionMs);
 	}
 
-	/** Drops what was silent for too long. */
-	forget(now: Millis): void {
-		for (const [instance, known] of this._known) {
-			if (now - known.heardAt >= this._forgetAfterMs) {
-				this._known.delete(instance);
+	/** Removes instances whose last report is older than the retention period. */
+	evictExpired(now: Millis): void {
+		for (const [instance, known] of this._entries) {
+			if (now - known.heardAt >= this._retentionMs) {
+				this._entries.delete(instance);
 			}
 		}
 	}
@@ -83,13 +83,13 @@
 		}));
 	}
 
-	private _where(now: Millis, accept: (age: Millis) => boolean): KnownEntry[] {
-		const found = [...this._known.values()].filter(known => accept(now - known.heardAt));
+	private _filterByAge(now: Millis, accept: (age: Millis) => boolean): KnownEntry[] {
+		const found = [...this._entries.values()].filter(known => accept(now - known.heardAt));
 		return found.sort((a, b) => (a.report.identity.instance < b.report.identity.instance ? -1 : 1));
 	}
 }
 
-/** Whether a directory holds just these entries. */
+/** Whether a directory holds the same entry objects in the same order. */
 export function hasSameEntries(directory: Directory, entries: readonly DirectoryEntry[]): boolean {
 	return directory.entries.length === entries.length && entries.every((entry, i) => entry === directory.entries[i]);
 }
@@ -100,7 +100,7 @@
 	readonly used: number[];
 }
 
-function toEntry(report: EntryReport): DirectoryEntry {
+function toDirectoryEntry(report: EntryReport): DirectoryEntry {
 	return { identity: report.identity, leaving: report.leaving };
 }
 
--- a/src/plugins/membership/common/entryReport.ts
+++ b/src/plugins/membership/common/entryReport.ts
@@ -2,27 +2,27 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What entry instances say of themselves, and the directory that control makes of it. */
+/** Reports of entry instances, and the directory that the leader builds from them. */
 
 import type { Revision } from '../../configuration/common/configuration.js';
 
-/** Who and where an entry instance is. */
+/** Name, location and addresses of an entry instance. */
 export interface EntryIdentity {
 	readonly instance: string;
 	readonly hall: string;
 	readonly region: string;
-	/** Where callers reach it. */
+	/** URL for callers. */
 	readonly url: string;
-	/** Where the other processes reach it. */
+	/** Address for entry and control instances. */
 	readonly peerAddress: string;
 	/** Changes with every start of the process. */
 	readonly incarnation: string;
 }
 
-/** Capacity of a service at an instance's own targets. */
+/** Capacity of a service at the targets of an entry instance. */
 export interface CapacityReport {
 	readonly service: string;
-	/** Slots of the targets that this instance owns and that take work. */
+	/** Slots of the targets that this instance owns and that accept requests. */
 	readonly slots: number;
 	/** Slots in use now. */
 	readonly used: number;
@@ -32,35 +32,36 @@
 export interface DemandReport {
 	readonly service: string;
 	readonly group: string;
-	/** Mean number of slots in use over the last interval. */
+	/** Mean number of slots in use over the last report interval. */
 	readonly used: number;
-	/** Requests waiting now. */
+	/** Requests queued now. */
 	readonly queued: number;
 }
 
-/** The state of an entry instance at a moment. */
+/** State of an entry instance. */
 export interface EntryReport {
 	readonly identity: EntryIdentity;
-	/** Revision that is wholly in force here, paced placements included. */
+	/** Latest revision that is fully applied here, with all paced placements completed. */
 	readonly revisionInForce: Revision;
-	/** Whether the configuration was taken from the data hall without control's word. */
+	/** Whether the configuration may be older than the one that control had accepted when the instance started. */
 	readonly provisional: boolean;
-	/** Whether the instance stops. */
+	/** Whether the instance is shutting down. */
 	readonly leaving: boolean;
 	readonly capacity: readonly CapacityReport[];
 	readonly demand: readonly DemandReport[];
-	/** Answers of targets with status 500 and above, and all answers, in the last interval. */
+	/** Responses of targets with status 500 and above in the last report interval. */
 	readonly failures: number;
+	/** All responses of targets in the last report interval. */
 	readonly answers: number;
 }
 
-/** One entry instance as the others see it; what changes with the load is not in it. */
+/** One entry instance in the directory; holds no load figures, so that it changes rarely. */
 export interface DirectoryEntry {
 	readonly identity: EntryIdentity;
 	readonly leaving: boolean;
 }
 
-/** Free slots of the instances of one region for one service, in columns to keep the message small. */
+/** Slots of one service by instance of a region; parallel arrays keep the message small. */
 export interface ServiceLoads {
 	readonly service: string;
 	readonly instances: readonly string[];
@@ -68,30 +69,30 @@
 	readonly used: readonly number[];
 }
 
-/** The loads of one region; they lag. */
+/** Loads of one region as last received; they may be out of date. */
 export interface RegionLoads {
 	readonly region: string;
 	readonly services: readonly ServiceLoads[];
 }
 
-/** All live entry instances; a newer one replaces an older one. */
+/** The entry instances known to a leader; a newer directory replaces an older one. */
 export interface Directory {
-	/** Term of the leader that made it. */
+	/** Term of the leader that built it. */
 	readonly term: number;
-	/** Counts up within a term. */
+	/** Increases within a term. */
 	readonly version: number;
 	readonly entries: readonly DirectoryEntry[];
 }
 
-/** Whether a directory is newer than another. */
-export function isNewerDirectory(candidate: Directory, present: Directory | undefined): boolean {
-	if (!present) {
+/** Compares by term, then by version. */
+export function isNewerDirectory(candidate: Directory, current: Directory | undefined): boolean {
+	if (!current) {
 		return true;
 	}
-	return candidate.term > present.term || (candidate.term === present.term && candidate.version > present.version);
+	return candidate.term > current.term || (candidate.term === current.term && candidate.version > current.version);
 }
 
-/** What turns one directory into another. */
+/** Changes from one directory to a newer one. */
 export interface DirectoryDelta {
 	readonly term: number;
 	readonly version: number;
@@ -99,22 +100,22 @@
 	readonly removed: readonly string[];
 }
 
-/** The delta from a directory to a newer one; entries that did not change are the same objects in both. */
-export function diffDirectories(before: Directory, after: Directory): DirectoryDelta {
-	const known = new Set(before.entries);
-	const names = new Set(after.entries.map(entry => entry.identity.instance));
+/** Returns the changes between two directories; unchanged entries must be the same objects in both. */
+export function diffDirectories(previous: Directory, next: Directory): DirectoryDelta {
+	const previousEntries = new Set(previous.entries);
+	const names = new Set(next.entries.map(entry => entry.identity.instance));
 	return {
-		term: after.term,
-		version: after.version,
-		changed: after.entries.filter(entry => !known.has(entry)),
-		removed: before.entries.map(entry => entry.identity.instance).filter(name => !names.has(name))
+		term: next.term,
+		version: next.version,
+		changed: next.entries.filter(entry => !previousEntries.has(entry)),
+		removed: previous.entries.map(entry => entry.identity.instance).filter(name => !names.has(name))
 	};
 }
 
-/** Applies a delta; the sender knows that it fits. */
-export function applyDirectoryDelta(before: Directory, delta: DirectoryDelta): Directory {
-	const gone = new Set([...delta.removed, ...delta.changed.map(entry => entry.identity.instance)]);
-	const kept = before.entries.filter(entry => !gone.has(entry.identity.instance));
+/** Applies a delta, which must have been made against this directory; nothing is checked. */
+export function applyDirectoryDelta(previous: Directory, delta: DirectoryDelta): Directory {
+	const replaced = new Set([...delta.removed, ...delta.changed.map(entry => entry.identity.instance)]);
+	const kept = previous.entries.filter(entry => !replaced.has(entry.identity.instance));
 	const entries = [...kept, ...delta.changed].sort((a, b) => (a.identity.instance < b.identity.instance ? -1 : 1));
 	return { term: delta.term, version: delta.version, entries };
 }
--- a/src/plugins/membership/membership.plugin.ts
+++ b/src/plugins/membership/membership.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the membership of entry instances. */
+/** Registers the entry membership service. */
 
 import { pluginRegistry } from '../../kernel/common/pluginRegistry.js';
 import { IEntryMembership } from './common/entryMembership.js';
--- a/src/plugins/membership/node/entryMembershipTask.ts
+++ b/src/plugins/membership/node/entryMembershipTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Gathers the reports of entry instances at the leader and spreads the directory that it makes of them. */
+/** Collects the reports of entry instances at the leader, and distributes the directory and loads built from them. */
 
 import { systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -21,31 +21,32 @@
 	isNewerDirectory,
 	type RegionLoads
 } from '../common/entryReport.js';
-import { withUnheardLoads } from '../common/regionLoads.js';
+import { mergeRegionLoads } from '../common/regionLoadMerge.js';
 
 const EXCHANGE_INTERVAL_MS = 50;
-const IDLE_EXCHANGE_EVERY = 4;
+const IDLE_EXCHANGE_TICKS = 4;
 const EXCHANGE_TIMEOUT_MS = 1000;
-const SILENT_AFTER_MS = 1500;
-/** The leader looks for a new directory, and sums up the loads, no more often than this. */
+const ENTRY_TIMEOUT_MS = 1500;
+/** Minimum interval between rebuilds of directory and loads at the leader. */
 const REFRESH_INTERVAL_MS = 200;
-/** A new leader keeps what the leader before it spread for this long: the instances still look for a session. */
-const TAKE_OVER_MS = 4000;
-const FORGET_AFTER_MS = 60 * 60 * 1000;
+/** How long a new leader keeps the entries of the previous leader, until the instances have opened sessions and reported. */
+const TAKEOVER_PERIOD_MS = 4000;
+const ENTRY_RETENTION_MS = 60 * 60 * 1000;
 
-/** A follower's reports since its last call. */
+/** Reports that a follower received since its last exchange. */
 interface ExchangeRequest {
 	readonly reports: readonly EntryReport[];
-	/** The directory that the follower has. */
+	/** Term of the follower's directory; 0 for none. */
 	readonly term: number;
+	/** Version of the follower's directory; 0 for none. */
 	readonly version: number;
 }
 
-/** The leader's answer. */
+/** Response to an exchange. */
 interface ExchangeResponse {
-	/** Whether the answer came from a leader with a lease. */
+	/** Whether the responding instance is the leader and holds a lease. */
 	readonly isLeader: boolean;
-	/** Present when it is newer than the follower's. */
+	/** Omitted when the follower has it already. */
 	readonly directory?: Directory;
 	readonly loads?: readonly RegionLoads[];
 }
@@ -59,19 +60,19 @@
 	private readonly _onDidChangeDirectory = this._register(new Emitter<Directory>());
 	readonly onDidChangeDirectory = this._onDidChangeDirectory.event;
 
-	private readonly _registry = new EntryRegistry(SILENT_AFTER_MS, FORGET_AFTER_MS);
+	private readonly _registry = new EntryRegistry(ENTRY_TIMEOUT_MS, ENTRY_RETENTION_MS);
 	private readonly _controls: ReadonlyMap<string, ControlPeerSettings>;
 	private readonly _self: string;
-	private _pending = new Map<string, EntryReport>();
+	private _pendingReports = new Map<string, EntryReport>();
 	private _directory: Directory | undefined;
 	private _loads: readonly RegionLoads[] = [];
-	/** The loads spread by the leader before this one; kept while instances may not have reported here yet. */
-	private _loadsBefore: readonly RegionLoads[] = [];
-	private _refreshedAt = 0;
-	private _leaderContactAt = Number.NEGATIVE_INFINITY;
+	/** Loads published by the previous leader, used during the takeover period. */
+	private _previousLeaderLoads: readonly RegionLoads[] = [];
+	private _lastRefreshAt = 0;
+	private _lastLeaderContactAt = Number.NEGATIVE_INFINITY;
 	private _leaderSince: number | undefined;
-	private _exchanging = false;
-	private _round = 0;
+	private _isExchanging = false;
+	private _tickCount = 0;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
@@ -81,7 +82,7 @@
 		super();
 		this._self = settings.section<InstanceSettings>('instance').name;
 		this._controls = settings.namedSections<ControlPeerSettings>('control');
-		this._wire.handleUnary(exchangeMethod, async request => this._onExchange(request));
+		this._wire.handleUnary(exchangeMethod, async request => this._handleExchange(request));
 		const timer = setInterval(() => this._tick(), EXCHANGE_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
@@ -96,7 +97,7 @@
 
 	accept(report: EntryReport): void {
 		this._record(report);
-		this._pending.set(report.identity.instance, report);
+		this._pendingReports.set(report.identity.instance, report);
 	}
 
 	live(): KnownEntry[] {
@@ -108,7 +109,7 @@
 	}
 
 	leaderContactAge(): number {
-		return this._agreement.hasLease() ? 0 : systemClock.now() - this._leaderContactAt;
+		return this._agreement.hasLease() ? 0 : systemClock.now() - this._lastLeaderContactAt;
 	}
 
 	private _record(report: EntryReport): void {
@@ -117,59 +118,59 @@
 	}
 
 	private _tick(): void {
-		this._round++;
+		this._tickCount++;
 		if (this._agreement.hasLease()) {
-			this._leaderContactAt = systemClock.now();
+			this._lastLeaderContactAt = systemClock.now();
 			if (this._leaderSince === undefined) {
-				this._leaderSince = this._leaderContactAt;
-				this._loadsBefore = this._loads;
+				this._leaderSince = this._lastLeaderContactAt;
+				this._previousLeaderLoads = this._loads;
 			}
-			this._pending.clear();
+			this._pendingReports.clear();
 			this._refreshDirectory();
 			return;
 		}
 		this._leaderSince = undefined;
-		const isDue = this._pending.size > 0 || this._round % IDLE_EXCHANGE_EVERY === 0;
-		if (isDue && !this._exchanging) {
+		const isDue = this._pendingReports.size > 0 || this._tickCount % IDLE_EXCHANGE_TICKS === 0;
+		if (isDue && !this._isExchanging) {
 			void this._exchange();
 		}
 	}
 
 	private _refreshDirectory(): void {
 		const now = systemClock.now();
-		if (now - this._refreshedAt < REFRESH_INTERVAL_MS) {
+		if (now - this._lastRefreshAt < REFRESH_INTERVAL_MS) {
 			return;
 		}
-		this._refreshedAt = now;
-		this._registry.forget(now);
-		this._loads = this._loadsNow(now);
-		const entries = this._entriesNow(now);
+		this._lastRefreshAt = now;
+		this._registry.evictExpired(now);
+		this._loads = this._currentLoads(now);
+		const entries = this._currentEntries(now);
 		const term = this._agreement.status().term;
-		const present = this._directory;
-		if (present && present.term === term && hasSameEntries(present, entries)) {
+		const current = this._directory;
+		if (current && current.term === term && hasSameEntries(current, entries)) {
 			return;
 		}
-		this._setDirectory({ term, version: present?.term === term ? present.version + 1 : 1, entries });
+		this._setDirectory({ term, version: current?.term === term ? current.version + 1 : 1, entries });
 	}
 
-	/** Without the loads before, an instance with no slots of its own would see nobody to hand its requests to. */
-	private _loadsNow(now: number): readonly RegionLoads[] {
-		const heard = this._registry.loads(now);
-		return this._isTakingOver(now) ? withUnheardLoads(heard, this._loadsBefore) : heard;
+	/** Keeps the previous leader's loads during takeover; otherwise an instance without free slots would find no instance to forward to. */
+	private _currentLoads(now: number): readonly RegionLoads[] {
+		const reported = this._registry.loads(now);
+		return this._isTakingOver(now) ? mergeRegionLoads(reported, this._previousLeaderLoads) : reported;
 	}
 
 	private _isTakingOver(now: number): boolean {
-		return now - this._leaderSince! <= TAKE_OVER_MS;
+		return now - this._leaderSince! <= TAKEOVER_PERIOD_MS;
 	}
 
-	private _entriesNow(now: number): DirectoryEntry[] {
+	private _currentEntries(now: number): DirectoryEntry[] {
 		const entries = this._registry.directoryEntries(now);
 		if (!this._isTakingOver(now)) {
 			return entries;
 		}
-		const heard = new Set(entries.map(entry => entry.identity.instance));
-		const unheard = this._directory?.entries.filter(entry => !heard.has(entry.identity.instance)) ?? [];
-		return [...entries, ...unheard].sort((a, b) => (a.identity.instance < b.identity.instance ? -1 : 1));
+		const reported = new Set(entries.map(entry => entry.identity.instance));
+		const unreported = this._directory?.entries.filter(entry => !reported.has(entry.identity.instance)) ?? [];
+		return [...entries, ...unreported].sort((a, b) => (a.identity.instance < b.identity.instance ? -1 : 1));
 	}
 
 	private async _exchange(): Promise<void> {
@@ -178,47 +179,47 @@
 		if (!peer || leader === this._self) {
 			return;
 		}
-		const reports = [...this._pending.values()];
-		this._pending.clear();
-		this._exchanging = true;
+		const reports = [...this._pendingReports.values()];
+		this._pendingReports.clear();
+		this._isExchanging = true;
 		const sentAt = systemClock.now();
 		const request = { reports, term: this._directory?.term ?? 0, version: this._directory?.version ?? 0 };
 		try {
 			const response = await this._wire.call(peer.address, exchangeMethod, request, EXCHANGE_TIMEOUT_MS);
-			this._onExchanged(response, sentAt);
+			this._applyExchangeResponse(response, sentAt);
 		} catch {
 			reports.forEach(report => this._restorePending(report));
 		} finally {
-			this._exchanging = false;
+			this._isExchanging = false;
 		}
 	}
 
-	private _onExchanged(response: ExchangeResponse, sentAt: number): void {
+	private _applyExchangeResponse(response: ExchangeResponse, sentAt: number): void {
 		if (!response.isLeader) {
 			return;
 		}
-		this._leaderContactAt = Math.max(this._leaderContactAt, sentAt);
+		this._lastLeaderContactAt = Math.max(this._lastLeaderContactAt, sentAt);
 		this._loads = response.loads ?? this._loads;
 		if (response.directory) {
-			this._setDirectory(withKnownEntries(response.directory, this._directory));
+			this._setDirectory(reuseUnchangedEntries(response.directory, this._directory));
 		}
 	}
 
-	/** A report whose exchange failed goes with the next one, unless a newer one came meanwhile. */
+	/** Queues a report again after a failed exchange, unless a newer one of the same instance is queued. */
 	private _restorePending(report: EntryReport): void {
-		if (!this._pending.has(report.identity.instance)) {
-			this._pending.set(report.identity.instance, report);
+		if (!this._pendingReports.has(report.identity.instance)) {
+			this._pendingReports.set(report.identity.instance, report);
 		}
 	}
 
-	private _onExchange(request: ExchangeRequest): ExchangeResponse {
+	private _handleExchange(request: ExchangeRequest): ExchangeResponse {
 		request.reports.forEach(report => this._record(report));
 		if (!this._agreement.hasLease()) {
 			return { isLeader: false };
 		}
 		const directory = this._directory;
-		const has = directory && directory.term === request.term && directory.version === request.version;
-		return { isLeader: true, directory: has ? undefined : directory, loads: this._loads };
+		const isUpToDate = directory && directory.term === request.term && directory.version === request.version;
+		return { isLeader: true, directory: isUpToDate ? undefined : directory, loads: this._loads };
 	}
 
 	private _setDirectory(directory: Directory): void {
@@ -229,13 +230,14 @@
 	}
 }
 
-/** Puts the objects of the former directory in place of equal ones, so that the difference is found quickly. */
-function withKnownEntries(directory: Directory, known: Directory | undefined): Directory {
-	const byName = new Map(known?.entries.map(entry => [entry.identity.instance, entry]));
+/** Replaces entries with the equal objects of the previous directory, so that `diffDirectories` can compare by reference. */
+function reuseUnchangedEntries(directory: Directory, previous: Directory | undefined): Directory {
+	const byName = new Map(previous?.entries.map(entry => [entry.identity.instance, entry]));
 	const entries = directory.entries.map(entry => {
-		const before = byName.get(entry.identity.instance);
-		const isSame = before?.identity.incarnation === entry.identity.incarnation && before.leaving === entry.leaving;
-		return isSame ? before : entry;
+		const previousEntry = byName.get(entry.identity.instance);
+		const isSame =
+			previousEntry?.identity.incarnation === entry.identity.incarnation && previousEntry.leaving === entry.leaving;
+		return isSame ? previousEntry : entry;
 	});
 	return { ...directory, entries };
 }
--- a/src/plugins/membership/test/entryMembershipTask.test.ts
+++ b/src/plugins/membership/test/entryMembershipTask.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What a control instance spreads right after it has become the leader. */
+/** A new leader must not drop the loads of instances that have not reported to it yet. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,7 +19,7 @@
 	reload: () => []
 };
 
-/** What the leader before spread: two instances of a region, the second one with all the slots. */
+/** Loads published by the previous leader: two instances of a region, of which the second has all the slots. */
 const LOADS_BEFORE: readonly RegionLoads[] = [
 	{ region: 'north', services: [{ service: 'grower', instances: ['e1', 'e2'], slots: [0, 6], used: [0, 1] }] }
 ];
@@ -37,7 +37,7 @@
 	};
 }
 
-/** A replica that follows `c2` until it is told to lead. */
+/** Follows `c2` until `isLeading` is set. */
 class FakeAgreement {
 	isLeading = false;
 	readonly onDidChangeLeadership = new Emitter<boolean>().event;
@@ -51,7 +51,7 @@
 	}
 }
 
-test('a new leader goes on with the loads of instances that it has not heard itself yet', async t => {
+test('a new leader keeps the loads of instances that have not reported to it yet', async t => {
 	const agreement = new FakeAgreement();
 	let markExchanged!: () => void;
 	const exchanged = new Promise<void>(resolve => (markExchanged = resolve));
