--- a/src/plugins/membership/test/entryMembershipTask.test.ts
+++ b/src/plugins/membership/test/entryMembershipTask.test.ts
@@ -20,7 +20,7 @@
 };
 
 /** Loads published by the previous leader: two instances of a region, of which the second has all the slots. */
-const LOADS_BEFORE: readonly RegionLoads[] = [
+const PREVIOUS_LOADS: readonly RegionLoads[] = [
 	{ region: 'north', services: [{ service: 'grower', instances: ['e1', 'e2'], slots: [0, 6], used: [0, 1] }] }
 ];
 
@@ -60,18 +60,18 @@
 		call: async () => {
 			setImmediate(markExchanged);
 			const entries = ['e1', 'e2'].map(instance => ({ identity: reportOf(instance, 0).identity, leaving: false }));
-			return { isLeader: true, directory: { term: 1, version: 1, entries }, loads: LOADS_BEFORE };
+			return { isLeader: true, directory: { term: 1, version: 1, entries }, loads: PREVIOUS_LOADS };
 		}
 	} as unknown as IPeerWire;
 	const task = new EntryMembershipTask(SETTINGS, wire, agreement as unknown as IAgreement);
 	t.after(() => task.dispose());
 	await exchanged;
-	const hasTakenOver = new Promise<void>(resolve => {
+	const tookOver = new Promise<void>(resolve => {
 		task.onDidChangeDirectory(directory => directory.term === 2 && resolve());
 	});
 	agreement.isLeading = true;
 	task.accept(reportOf('e1', 0));
-	await hasTakenOver;
+	await tookOver;
 	const [loads] = task.loads.find(item => item.region === 'north')!.services;
 	assert.deepEqual(loads, { service: 'grower', instances: ['e1', 'e2'], slots: [0, 6], used: [0, 1] });
 });
--- a/src/plugins/routes/test/teams.test.ts
+++ b/src/plugins/routes/test/teams.test.ts
@@ -50,13 +50,13 @@
 
 test('the home regions of route and team are intersected, and an empty intersection is refused', () => {
 	const teams = [team('a', ['k'], { homeRegions: ['north', 'south'] })];
-	const homesOf = (homeRegions: readonly string[]): unknown => {
+	const allowedRegions = (homeRegions: readonly string[]): unknown => {
 		const result = access(teams, 'k', { homeRegions });
 		return result.isGranted ? result.homeRegions : result.reason;
 	};
-	assert.deepEqual(homesOf([]), ['north', 'south']);
-	assert.deepEqual(homesOf(['south', 'central']), ['south']);
-	assert.equal(homesOf(['central']), RefusalReason.NoHomeRegion);
+	assert.deepEqual(allowedRegions([]), ['north', 'south']);
+	assert.deepEqual(allowedRegions(['south', 'central']), ['south']);
+	assert.equal(allowedRegions(['central']), RefusalReason.NoHomeRegion);
 });
 
 test('a key of two teams is an issue that names both teams and does not contain the key', () => {
--- a/src/plugins/steering/common/placementPacer.ts
+++ b/src/plugins/steering/common/placementPacer.ts
@@ -31,7 +31,7 @@
 
 /** Placements in effect at one entry instance. */
 export class PlacementPacer {
-	private readonly _paced = new Map<string, PacedPlacement>();
+	private readonly _placements = new Map<string, PacedPlacement>();
 	private _groups = new Map<string, GroupConfiguration>();
 	private _targetRevision: Revision = 0;
 	private _revisionInForce: Revision = 0;
@@ -44,7 +44,7 @@
 
 	/** The placement in effect for the clients of a group with the given home region. */
 	placement(group: string, home: string): Placement {
-		return this._paced.get(`${group}|${home}`)?.effective ?? { group, home, ranges: [] };
+		return this._placements.get(`${group}|${home}`)?.effective ?? { group, home, ranges: [] };
 	}
 
 	/** Sets the configuration to move to. The first one after a start takes effect at once, as no clients were placed before. */
@@ -52,13 +52,13 @@
 		this._groups = new Map(table.groups.map(group => [group.name, group]));
 		this._targetRevision = table.revision;
 		const targets = new Map(table.placements.map(item => [`${item.group}|${item.home}`, item]));
-		for (const [key, paced] of this._paced) {
+		for (const [key, paced] of this._placements) {
 			paced.target = targets.get(key) ?? { ...paced.target, ranges: [] };
 		}
 		for (const [key, target] of targets) {
-			if (!this._paced.has(key)) {
+			if (!this._placements.has(key)) {
 				const effective = this._isFirstConfiguration ? target : { ...target, ranges: [] };
-				this._paced.set(key, { effective, target, recentMoves: [] });
+				this._placements.set(key, { effective, target, recentMoves: [] });
 			}
 		}
 		this._isFirstConfiguration = false;
@@ -71,7 +71,7 @@
 			return false;
 		}
 		let isComplete = true;
-		for (const paced of this._paced.values()) {
+		for (const paced of this._placements.values()) {
 			this._advancePlacement(paced, now);
 			isComplete &&= countMoved(paced.effective, paced.target) === 0;
 		}
--- a/test/platform/heartbeats.test.ts
+++ b/test/platform/heartbeats.test.ts
@@ -34,8 +34,8 @@
 }
 
 test('a heartbeat is converted to the fleet form; without a start time, `bornAt` is 0', () => {
-	const told = readOrField(JSON.stringify(VALID_HEARTBEAT));
-	const described = {
+	const heartbeat = readOrField(JSON.stringify(VALID_HEARTBEAT));
+	const description = {
 		id: 'i-1',
 		bornAt: VALID_HEARTBEAT.born,
 		service: 'reads',
@@ -44,12 +44,12 @@
 		version: 'v1',
 		slots: 4
 	};
-	assert.deepEqual(told, { description: described, isLeaving: false, sequence: 7, coldLeftMs: 1500 });
-	const old = readOrField(
+	assert.deepEqual(heartbeat, { description, isLeaving: false, sequence: 7, coldLeftMs: 1500 });
+	const minimal = readOrField(
 		JSON.stringify({ ...VALID_HEARTBEAT, born: undefined, status: { state: 'draining', seq: 0 } })
 	);
-	assert.ok(typeof old !== 'string');
-	assert.deepEqual([old.description.bornAt, old.isLeaving, old.coldLeftMs], [0, true, 0]);
+	assert.ok(typeof minimal !== 'string');
+	assert.deepEqual([minimal.description.bornAt, minimal.isLeaving, minimal.coldLeftMs], [0, true, 0]);
 });
 
 test('arbitrary bytes, arbitrary values and truncated heartbeats give a valid heartbeat or the name of a refused field', () => {
@@ -69,9 +69,9 @@
 	);
 	fc.assert(
 		fc.property(texts, text => {
-			const told = readOrField(text);
-			if (typeof told !== 'string') {
-				const { description, sequence, coldLeftMs } = told;
+			const heartbeat = readOrField(text);
+			if (typeof heartbeat !== 'string') {
+				const { description, sequence, coldLeftMs } = heartbeat;
 				assert.match(description.address, /^\d+\.\d+\.\d+\.\d+:\d+$/);
 				assert.ok(description.service !== '' && description.hall !== '');
 				assert.ok([description.bornAt, description.slots, sequence].every(Number.isSafeInteger));
