--- a/src/plugins/limits/common/creditBatches.ts
+++ b/src/plugins/limits/common/creditBatches.ts
@@ -2,41 +2,41 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Credits in the order in which they were given, each batch with its end. Holder and ledger spend the oldest first. */
+/** Credits grouped by the time at which they expire. Holders and the ledger both consume the oldest batch first. */
 
 import type { Millis } from '../../../base/clock.js';
 
 interface Batch {
 	count: number;
-	readonly lapsesAt: Millis;
+	readonly expiresAt: Millis;
 }
 
-/** Credits of one team at one holder. */
+/** The credits of one team at one holder. */
 export class CreditBatches {
 	private readonly _batches: Batch[] = [];
 	private _total = 0;
 
-	/** Credits in all batches. */
+	/** Number of credits in all batches. */
 	get total(): number {
 		return this._total;
 	}
 
-	/** Credits that last until then; batches are added in the order of their ends. */
-	add(count: number, lapsesAt: Millis): void {
-		this._batches.push({ count, lapsesAt });
+	/** Adds a batch. Batches must be added in the order in which they expire. */
+	add(count: number, expiresAt: Millis): void {
+		this._batches.push({ count, expiresAt });
 		this._total += count;
 	}
 
-	/** @returns how many there were, up to the number asked for */
-	remove(most: number): number {
-		let left = Math.min(most, this._total);
-		const removed = Math.max(0, left);
+	/** @returns the number of credits removed, at most `maxCount` */
+	removeOldest(maxCount: number): number {
+		let remaining = Math.min(maxCount, this._total);
+		const removed = Math.max(0, remaining);
 		this._total -= removed;
-		while (left > 0) {
+		while (remaining > 0) {
 			const oldest = this._batches[0]!;
-			const part = Math.min(oldest.count, left);
+			const part = Math.min(oldest.count, remaining);
 			oldest.count -= part;
-			left -= part;
+			remaining -= part;
 			if (oldest.count === 0) {
 				this._batches.shift();
 			}
@@ -44,10 +44,10 @@
 		return removed;
 	}
 
-	/** @returns how many have lapsed since the last call */
-	dropLapsed(now: Millis): number {
+	/** @returns the number of credits that have expired since the last call */
+	dropExpired(now: Millis): number {
 		let dropped = 0;
-		while (this._batches.length > 0 && now >= this._batches[0]!.lapsesAt) {
+		while (this._batches.length > 0 && now >= this._batches[0]!.expiresAt) {
 			dropped += this._batches.shift()!.count;
 		}
 		this._total -= dropped;
--- a/src/plugins/limits/common/creditLedger.ts
+++ b/src/plugins/limits/common/creditLedger.ts
@@ -3,50 +3,52 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The leader's account of the credits of teams. One request of a team that reaches a target costs one credit. At each grant,
- * what was spent in the window before, what holders may still spend, and what leaders before may have given together stay
- * within what a window may hold. A request of any later window was let through by a credit that counts there in one
- * of these ways, so the sum holds whatever is lost, late or said twice, and whoever is cut off.
+ * The leader's accounts of the credits of teams. One request of a team that reaches a target costs one credit. Each grant
+ * keeps the sum of three amounts within the number of requests that a window may contain: credits spent in the last window,
+ * credits that holders may still spend, and credits that earlier leaders may have granted. Every request admitted later is
+ * covered by one of these amounts, so the limit holds if messages are lost, delayed or duplicated, and during partitions.
  *
- * A ledger keeps within a ceiling for each team that stands in the replicated log before credits are given up to it. So the
- * next leader knows how much the one before may have given out, also where nobody of that time is left.
+ * The credits of a team are granted up to a ceiling that was committed to the replicated log beforehand. It gives the next
+ * leader an upper bound on what this one granted, even if no instance of that time can be reached.
  */
 
 import type { Millis } from '../../../base/clock.js';
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 import { HolderAccount } from './holderAccount.js';
-import { type ILimitTerms, mostInWindow, settleMs } from './limitTerms.js';
+import { type ILimitTerms, maxRequestsPerWindow, settlementMs } from './limitTerms.js';
 import type { CreditGrant, CreditReport, RenewRequest } from './limitWire.js';
 import { SpendHistory } from './spendHistory.js';
 
-/** Part of the room of a team up to which credits are given ahead of need; the rest is for requests that wait. */
-const AHEAD_PART = 0.85;
+/** Fraction of a team's allowed usage up to which credits are granted ahead of need; the rest is reserved for waiting requests. */
+const PREFETCH_FRACTION = 0.85;
+/** A ceiling is raised once usage exceeds this fraction of it. */
+const RAISE_THRESHOLD_FRACTION = 0.9;
 /**
- * A ceiling is raised where this part of it is in use, to as many times the use and some credits more. Lower ones refuse requests of
- * teams whose rate rises, higher ones leave the next leader less.
+ * A raised ceiling is this multiple of the required credits, plus `RAISE_MARGIN`. Lower values cause refusals while the rate of a
+ * team rises; higher ones leave less capacity to the next leader.
  */
-const RAISE_FROM_PART = 0.9;
-const RAISED_TIMES = 1.12;
-const RAISED_BY = 8;
-/** One that is this many times too high is lowered, so that the next leader has room. */
-const TOO_HIGH_TIMES = 1.4;
-/** Ceiling of a team before one stands in the log, as a part of what a window may hold; none is lowered below. */
-export const FIRST_PART = 0.12;
-/** When to ask again where no spent credit is about to leave the window: all of them are out, and lapse within 2.5 s. */
-const UNKNOWN_ROOM_MS = 500;
-
-/** What stands in the replicated log of the ceilings of teams. */
+const RAISE_FACTOR = 1.12;
+/** Credits. */
+const RAISE_MARGIN = 8;
+/** A ceiling that exceeds the required one by more than this factor is lowered, to leave capacity to the next leader. */
+const LOWER_THRESHOLD_FACTOR = 1.4;
+/** Ceiling of a team without one in the log, and minimum of all ceilings, as a fraction of the allowed requests per window. */
+export const INITIAL_CEILING_FRACTION = 0.12;
+/** Retry delay if the window contains too few spent credits to wait for; the outstanding ones expire after `CREDIT_LIFETIME_MS`. */
+const DEFAULT_CAPACITY_WAIT_MS = 500;
+
+/** Ceilings of teams in the replicated log. `maxRequests` is the number of requests that a window may contain. */
 export interface ICeilings {
-	/** The ceiling that the ledger in force keeps within. */
-	current(team: string, most: number): number;
-	/** The ceilings of the leaders before whose credits may still be out, together. */
-	before(team: string, most: number): number;
+	/** Ceiling of the current leader's ledger. */
+	currentCeiling(team: string, maxRequests: number): number;
+	/** Sum of the ceilings of earlier leaders whose credits may still be outstanding. */
+	previousCeilingSum(team: string, maxRequests: number): number;
 }
 
-/** New ceilings by team. */
+/** Ceilings by team, in credits. */
 export type Ceilings = Readonly<Record<string, number>>;
 
-/** The credits of one team. */
+/** The credits of one team at all holders. */
 class TeamAccount {
 	private readonly _holders = new Map<string, HolderAccount>();
 	private readonly _spent: SpendHistory;
@@ -55,28 +57,28 @@
 		this._spent = new SpendHistory(windowMs);
 	}
 
-	/** What was let through in the window, and what may still be. */
-	use(now: Millis): number {
-		let out = 0;
+	/** Credits spent in the last window plus outstanding ones. Expired credits that were not reported count as spent. */
+	usage(now: Millis): number {
+		let outstanding = 0;
 		for (const holder of this._holders.values()) {
-			this._spent.add(holder.writeOff(now), now);
-			out += holder.out;
+			this._spent.add(holder.writeOffExpired(now), now);
+			outstanding += holder.outstanding;
 		}
-		return out + this._spent.total(now);
+		return outstanding + this._spent.total(now);
 	}
 
-	knows(holder: string): boolean {
+	hasHolder(holder: string): boolean {
 		return this._holders.has(holder);
 	}
 
-	/** Takes in what a holder says; its first word in the time of this leader begins its account. */
-	report(holder: string, report: CreditReport, now: Millis): void {
+	/** Applies a report of a holder; the first one to this leader opens the holder's account. */
+	applyReport(holder: string, report: CreditReport, now: Millis): void {
 		const account = this._holders.get(holder);
 		if (!account) {
 			this._holders.set(holder, new HolderAccount(report));
 			return;
 		}
-		const newSpent = account.report(report, now);
+		const newSpent = account.applyReport(report, now);
 		if (newSpent >= 0) {
 			this._spent.add(newSpent, now);
 		} else {
@@ -85,50 +87,56 @@
 	}
 
 	/**
-	 * Gives credits.
-	 * @param most what may be in use
+	 * Grants credits.
+	 * @param needed credits for waiting requests
+	 * @param ahead credits for expected requests
+	 * @param maxUsage upper bound of the usage after the grant
 	 */
-	grant(holder: string, needed: number, ahead: number, most: number, now: Millis): CreditGrant {
-		const room = Math.max(0, Math.floor(most - this.use(now)));
-		const urgent = Math.min(needed, room);
-		const forNext = Math.max(0, Math.min(ahead, Math.floor(room - urgent - (1 - AHEAD_PART) * most)));
-		const granted = urgent + forNext;
+	grant(holder: string, needed: number, ahead: number, maxUsage: number, now: Millis): CreditGrant {
+		const available = Math.max(0, Math.floor(maxUsage - this.usage(now)));
+		const urgent = Math.min(needed, available);
+		const prefetched = Math.max(
+			0,
+			Math.min(ahead, Math.floor(available - urgent - (1 - PREFETCH_FRACTION) * maxUsage))
+		);
+		const granted = urgent + prefetched;
 		if (granted > 0) {
 			this._holders.get(holder)!.grant(granted, now);
 		}
 		const missing = needed - urgent;
-		return { granted, roomInMs: missing === 0 ? 0 : this._roomInMs(missing, now) };
+		return { granted, roomInMs: missing === 0 ? 0 : this._capacityWaitMs(missing, now) };
 	}
 
-	private _roomInMs(missing: number, now: Millis): Millis {
-		const roomInMs = this._spent.roomInMs(missing, now);
-		return Number.isFinite(roomInMs) ? Math.max(1, Math.ceil(roomInMs)) : UNKNOWN_ROOM_MS;
+	private _capacityWaitMs(missing: number, now: Millis): Millis {
+		const roomInMs = this._spent.capacityWaitMs(missing, now);
+		return Number.isFinite(roomInMs) ? Math.max(1, Math.ceil(roomInMs)) : DEFAULT_CAPACITY_WAIT_MS;
 	}
 }
 
-/** The accounts of all teams, for the time of one leader. */
+/** The accounts of all teams while one leader is in office. */
 export class CreditLedger {
 	private readonly _accounts = new Map<string, TeamAccount>();
 	private readonly _sequences = new Map<string, number>();
-	/** Credits that a team's ceiling was in the way of, by team, since the ceilings were last looked at. */
-	private readonly _short = new Map<string, number>();
+	/** Credits refused because of a ceiling, by team, since the ceilings were last computed. */
+	private readonly _shortfalls = new Map<string, number>();
 
-	/** Ceilings that are on their way into the log; lower ones bind at once. */
+	/** Ceilings that were proposed and may not be committed yet; lower ones apply at once. */
 	private readonly _proposed = new Map<string, number>();
 
 	/**
-	 * @param _startedAt when the leader took over
-	 * @param _limitOf the limit of a team by the table in force; undefined for none
+	 * @param _limitOf limit of a team in the current route table; undefined for none
+	 * @param _startedAt when this leader's ledger started
 	 */
 	constructor(
-		private readonly _terms: ILimitTerms,
+		private readonly _policy: ILimitTerms,
 		private readonly _ceilings: ICeilings,
 		private readonly _limitOf: (team: string) => TeamLimit | undefined,
 		private readonly _startedAt: Millis
 	) {}
 
 	/**
-	 * Takes a holder's reports in, unless they were overtaken, and gives it credits.
+	 * Applies a holder's reports and grants credits. A report that arrives after a later one is not applied, unless the holder has no
+	 * account for the team yet.
 	 * @returns the grants, in the order of the reports
 	 */
 	renew({ holder, sequence, reports }: RenewRequest, now: Millis): CreditGrant[] {
@@ -137,39 +145,39 @@
 			this._sequences.set(holder, sequence);
 		}
 		return reports.map(report => {
-			const account = this._accountOf(report.team);
-			if (isLatest || !account.knows(holder)) {
-				account.report(holder, report, now);
+			const account = this._getOrCreateAccount(report.team);
+			if (isLatest || !account.hasHolder(holder)) {
+				account.applyReport(holder, report, now);
 			}
 			return this._grant(holder, report, now);
 		});
 	}
 
-	/** The ceilings to be written into the log. */
-	newCeilings(now: Millis): Ceilings {
+	/** Returns the ceilings to be committed to the log, and clears the recorded shortfalls. */
+	takeNewCeilings(now: Millis): Ceilings {
 		const ceilings: Record<string, number> = {};
 		for (const [team, account] of this._accounts) {
 			const limit = this._limitOf(team);
 			if (limit) {
-				const most = mostInWindow(limit, this._terms);
-				const ceiling = this._newCeiling(team, account.use(now), most);
+				const maxRequests = maxRequestsPerWindow(limit, this._policy);
+				const ceiling = this._newCeiling(team, account.usage(now), maxRequests);
 				if (ceiling !== undefined) {
 					ceilings[team] = ceiling;
 					this._proposed.set(team, ceiling);
 				}
 			}
 		}
-		this._short.clear();
+		this._shortfalls.clear();
 		return ceilings;
 	}
 
-	/** @returns undefined where the ceiling fits */
-	private _newCeiling(team: string, use: number, most: number): number | undefined {
-		const current = this._ceiling(team, most);
-		const needed = RAISED_TIMES * (use + (this._short.get(team) ?? 0)) + RAISED_BY;
-		const wanted = Math.min(most, Math.ceil(Math.max(needed, FIRST_PART * most)));
-		const isShort = wanted > current && (this._short.has(team) || use > RAISE_FROM_PART * current);
-		return isShort || wanted * TOO_HIGH_TIMES < current ? wanted : undefined;
+	/** @returns undefined if the ceiling need not change */
+	private _newCeiling(team: string, usage: number, maxRequests: number): number | undefined {
+		const current = this._ceiling(team, maxRequests);
+		const needed = RAISE_FACTOR * (usage + (this._shortfalls.get(team) ?? 0)) + RAISE_MARGIN;
+		const wanted = Math.min(maxRequests, Math.ceil(Math.max(needed, INITIAL_CEILING_FRACTION * maxRequests)));
+		const shouldRaise = wanted > current && (this._shortfalls.has(team) || usage > RAISE_THRESHOLD_FRACTION * current);
+		return shouldRaise || wanted * LOWER_THRESHOLD_FACTOR < current ? wanted : undefined;
 	}
 
 	private _grant(holder: string, { team, needed, ahead }: CreditReport, now: Millis): CreditGrant {
@@ -177,25 +185,28 @@
 		if (!limit) {
 			return { granted: needed, roomInMs: 0 };
 		}
-		const most = mostInWindow(limit, this._terms);
-		const ceiling = this._ceiling(team, most);
-		const isAlone = now >= this._startedAt + settleMs(this._terms);
-		const free = Math.max(0, most - (isAlone ? 0 : this._ceilings.before(team, most)));
-		const grant = this._accountOf(team).grant(holder, needed, ahead, Math.min(ceiling, free), now);
-		if (grant.granted < needed + ahead && ceiling < free) {
-			this._short.set(team, (this._short.get(team) ?? 0) + needed + ahead - grant.granted);
+		const maxRequests = maxRequestsPerWindow(limit, this._policy);
+		const ceiling = this._ceiling(team, maxRequests);
+		const isSettled = now >= this._startedAt + settlementMs(this._policy);
+		const available = Math.max(0, maxRequests - (isSettled ? 0 : this._ceilings.previousCeilingSum(team, maxRequests)));
+		const grant = this._getOrCreateAccount(team).grant(holder, needed, ahead, Math.min(ceiling, available), now);
+		if (grant.granted < needed + ahead && ceiling < available) {
+			this._shortfalls.set(team, (this._shortfalls.get(team) ?? 0) + needed + ahead - grant.granted);
 		}
 		return grant;
 	}
 
-	private _ceiling(team: string, most: number): number {
-		return Math.min(this._ceilings.current(team, most), this._proposed.get(team) ?? Number.POSITIVE_INFINITY);
+	private _ceiling(team: string, maxRequests: number): number {
+		return Math.min(
+			this._ceilings.currentCeiling(team, maxRequests),
+			this._proposed.get(team) ?? Number.POSITIVE_INFINITY
+		);
 	}
 
-	private _accountOf(team: string): TeamAccount {
+	private _getOrCreateAccount(team: string): TeamAccount {
 		let account = this._accounts.get(team);
 		if (!account) {
-			account = new TeamAccount(this._terms.windowMs);
+			account = new TeamAccount(this._policy.windowMs);
 			this._accounts.set(team, account);
 		}
 		return account;
--- a/src/plugins/limits/common/holderAccount.ts
+++ b/src/plugins/limits/common/holderAccount.ts
@@ -3,83 +3,82 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The ledger's account of one team's credits at one holder. Every credit that was given counts until the holder says what
- * became of it, or until it must have lapsed there; one that the holder says nothing of by then counts as spent.
+ * The ledger's account of one team's credits at one holder. A granted credit is outstanding until the holder reports it as
+ * spent or returned, or until it must have expired at the holder; if it was not reported by then, it counts as spent.
  */
 
 import type { Millis } from '../../../base/clock.js';
 import { CreditBatches } from './creditBatches.js';
-import { CREDIT_LIFE_MS, LAPSE_MARGIN_MS } from './limitTerms.js';
+import { CREDIT_LIFETIME_MS, EXPIRY_MARGIN_MS } from './limitTerms.js';
 import type { CreditReport } from './limitWire.js';
 
 /**
- * Credits that a holder does not count as received this long after they were given are lost: it takes no answer later than 1 s,
- * and a report that was written before is no older than that when it comes. Shorter than the time after which they lapse here.
+ * A grant that the holder has not reported as received after this time is lost: the holder ignores responses later than 1 s, and a
+ * report is at most as old when it arrives. Must be less than `CREDIT_LIFETIME_MS + EXPIRY_MARGIN_MS`.
  */
-const LOST_AFTER_MS = 2300;
+const GRANT_LOST_AFTER_MS = 2300;
 
-/** Credits of one team at one holder, as the ledger has them. */
+/** The credits of one team at one holder, as known to the ledger. */
 export class HolderAccount {
-	/** Given and not accounted for, oldest first. */
+	/** Outstanding credits, oldest first. */
 	private readonly _batches = new CreditBatches();
-	/** Given so lately that the holder may not have said that it has them. */
-	private readonly _underWay: { readonly at: Millis; readonly count: number }[] = [];
-	/** Given before that, since the beginning. */
-	private _settledGrants = 0;
+	/** Grants that the holder may not have reported as received yet. */
+	private readonly _recentGrants: { readonly at: Millis; readonly count: number }[] = [];
+	/** Credits of all older grants of this account. */
+	private _olderGrantTotal = 0;
 	private _lost = 0;
-	/** Taken as spent without a word of the holder. */
+	/** Expired credits that counted as spent without a report. */
 	private _writtenOff = 0;
 	private _spent: number;
 	private _returned: number;
-	/** What was spent since this account began. */
-	private _spentHere = 0;
-	private readonly _receivedBefore: number;
-	/** Credits of a leader before that it had when this account began; they count there. */
+	/** Credits reported as spent since this account was opened. */
+	private _spentSinceStart = 0;
+	private readonly _initialReceived: number;
+	/** Credits of an earlier leader, held when this account was opened; they are covered by that leader's ceiling. */
 	private _inherited: number;
 
-	/** @param first the holder's first word, which comes before any grant */
+	/** Opens the account with the holder's first report, which precedes any grant. */
 	constructor({ received, spent, returned }: CreditReport) {
-		this._receivedBefore = received;
+		this._initialReceived = received;
 		this._spent = spent;
 		this._returned = returned;
 		this._inherited = received - spent - returned;
 	}
 
-	/** Credits that the holder may spend. */
-	get out(): number {
+	/** Credits that the holder may still spend. */
+	get outstanding(): number {
 		return this._batches.total;
 	}
 
-	/** Credits are given. */
 	grant(count: number, now: Millis): void {
-		this._batches.add(count, now + CREDIT_LIFE_MS + LAPSE_MARGIN_MS);
-		this._underWay.push({ at: now, count });
+		this._batches.add(count, now + CREDIT_LIFETIME_MS + EXPIRY_MARGIN_MS);
+		this._recentGrants.push({ at: now, count });
 	}
 
 	/**
-	 * Takes in what the holder says.
-	 * @returns what was spent since its last word; less than 0 where requests gave credits back that had been spent
+	 * Applies a report of the holder.
+	 * @returns credits spent since its last report; negative if credits counted as spent were given back by requests
 	 */
-	report({ received, spent, returned }: CreditReport, now: Millis): number {
-		const newSpent = Math.max(spent - this._spent, -this._spentHere);
+	applyReport({ received, spent, returned }: CreditReport, now: Millis): number {
+		const newSpent = Math.max(spent - this._spent, -this._spentSinceStart);
 		const accounted = spent - this._spent + returned - this._returned;
 		this._spent = spent;
 		this._returned = returned;
-		this._spentHere += newSpent;
-		this._batches.remove(this._beyondKnown(Math.max(0, accounted)));
-		this._batches.remove(this._newlyLost(received - this._receivedBefore, now));
+		this._spentSinceStart += newSpent;
+		this._batches.removeOldest(this._deductOlderCredits(Math.max(0, accounted)));
+		this._batches.removeOldest(this._countNewlyLost(received - this._initialReceived, now));
 		return newSpent;
 	}
 
-	/** @returns credits that must have lapsed at the holder, of which it said nothing: they may have been spent */
-	writeOff(now: Millis): number {
-		const count = this._batches.dropLapsed(now);
+	/** @returns credits that must have expired at the holder without a report; they may have been spent */
+	writeOffExpired(now: Millis): number {
+		const count = this._batches.dropExpired(now);
 		this._writtenOff += count;
 		return count;
 	}
 
-	/** What the holder accounts for beyond credits that are not among the batches: the oldest ones, which it spends first. */
-	private _beyondKnown(accounted: number): number {
+	/** Deducts inherited and written-off credits, which are not in the batches: the holder spends its oldest credits first. */
+	private _deductOlderCredits(accounted: number): number {
 		const inherited = Math.min(this._inherited, accounted);
 		this._inherited -= inherited;
 		const writtenOff = Math.min(this._writtenOff, accounted - inherited);
@@ -87,11 +86,11 @@
 		return accounted - inherited - writtenOff;
 	}
 
-	private _newlyLost(received: number, now: Millis): number {
-		while (this._underWay.length > 0 && now - this._underWay[0]!.at > LOST_AFTER_MS) {
-			this._settledGrants += this._underWay.shift()!.count;
+	private _countNewlyLost(received: number, now: Millis): number {
+		while (this._recentGrants.length > 0 && now - this._recentGrants[0]!.at > GRANT_LOST_AFTER_MS) {
+			this._olderGrantTotal += this._recentGrants.shift()!.count;
 		}
-		const lost = Math.max(0, this._settledGrants - received - this._lost);
+		const lost = Math.max(0, this._olderGrantTotal - received - this._lost);
 		this._lost += lost;
 		return lost;
 	}
--- a/src/plugins/limits/common/ledgerCeilings.ts
+++ b/src/plugins/limits/common/ledgerCeilings.ts
@@ -2,34 +2,34 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The replicated record of the ceilings that ledgers keep within, so that a new leader knows how much may still be out. */
+/** The replicated record of the ceilings of ledgers: a new leader's upper bound on credits granted by earlier leaders. */
 
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
-import { type Ceilings, FIRST_PART, type ICeilings } from './creditLedger.js';
+import { type Ceilings, INITIAL_CEILING_FRACTION, type ICeilings } from './creditLedger.js';
 
 /** Id of this part of the replicated state. */
 export const LEDGER_PART = 'limits';
 
-/** A leader's ledger begins. */
+/** Starts the ledger of a new leader. */
 export interface BeginLedger {
 	readonly type: 'begin';
 	readonly term: number;
 }
 
-/** The ledger of a term keeps within other ceilings from now on. */
+/** Changes ceilings of the ledger of a term. */
 export interface SetCeilings {
 	readonly type: 'ceilings';
 	readonly term: number;
 	readonly ceilings: Ceilings;
 }
 
-/** Nothing is out any more of what leaders before the one of a term gave. */
+/** Records that credits granted by leaders before the given term no longer count. */
 export interface SettleLedger {
 	readonly type: 'settle';
 	readonly term: number;
 }
 
-/** Any command of this part. */
+/** Any command of this part of the replicated state. */
 export type LedgerCommand = BeginLedger | SetCeilings | SettleLedger;
 
 interface SavedCeilings {
@@ -38,21 +38,21 @@
 	readonly before: readonly Ceilings[];
 }
 
-/** Applies ledger commands; deterministic. */
+/** Applies ledger commands; must be deterministic. */
 export class LedgerCeilings implements IReplicatedPart, ICeilings {
 	readonly id = LEDGER_PART;
-	/** Term of the ledger in force; undefined before the first one. */
+	/** Term of the current ledger; undefined before the first one. */
 	private _term: number | undefined;
 	private _current: Record<string, number> = {};
-	/** Those of the leaders before whose credits may still be out. */
-	private _before: Ceilings[] = [];
+	/** Ceilings of earlier leaders whose credits may still be outstanding. */
+	private _previous: Ceilings[] = [];
 
-	current(team: string, most: number): number {
-		return ceilingOf(this._current, team, most);
+	currentCeiling(team: string, maxRequests: number): number {
+		return ceilingOf(this._current, team, maxRequests);
 	}
 
-	before(team: string, most: number): number {
-		return this._before.reduce((sum, ceilings) => sum + ceilingOf(ceilings, team, most), 0);
+	previousCeilingSum(team: string, maxRequests: number): number {
+		return this._previous.reduce((sum, ceilings) => sum + ceilingOf(ceilings, team, maxRequests), 0);
 	}
 
 	apply(body: unknown): undefined {
@@ -66,23 +66,23 @@
 	}
 
 	save(): SavedCeilings {
-		return { term: this._term, current: this._current, before: this._before };
+		return { term: this._term, current: this._current, before: this._previous };
 	}
 
 	restore(saved: unknown): void {
 		const { term, current, before } = saved as SavedCeilings;
 		this._term = term;
 		this._current = { ...current };
-		this._before = [...before];
+		this._previous = [...before];
 	}
 
 	/**
-	 * A new ledger begins with the first ceilings. With those of the one before, a leader that lasted for a moment left its
-	 * successor nothing: after a loss of all power teams were refused for as long as credits of both might be out.
+	 * A new ledger starts with the initial ceilings. If it took over the previous ones, two leader changes in quick succession would
+	 * use up the capacity of teams, whose requests would be refused until the credits of both leaders have settled.
 	 */
 	private _begin(term: number): void {
 		if (this._term !== undefined) {
-			this._before.push(this._current);
+			this._previous.push(this._current);
 		}
 		this._term = term;
 		this._current = {};
@@ -92,11 +92,11 @@
 		if (command.type === 'ceilings') {
 			Object.assign(this._current, command.ceilings);
 		} else {
-			this._before = [];
+			this._previous = [];
 		}
 	}
 }
 
-function ceilingOf(ceilings: Ceilings, team: string, most: number): number {
-	return Math.min(most, ceilings[team] ?? FIRST_PART * most);
+function ceilingOf(ceilings: Ceilings, team: string, maxRequests: number): number {
+	return Math.min(maxRequests, ceilings[team] ?? INITIAL_CEILING_FRACTION * maxRequests);
 }
--- a/src/plugins/limits/common/limitTerms.ts
+++ b/src/plugins/limits/common/limitTerms.ts
@@ -2,38 +2,41 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** How the sum of a team's requests over all instances is judged, and the times by which holders and leader agree on it. */
+/** The window and tolerance of team limits over all instances, and the lifetime of credits. */
 
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 
-/** What a window may hold. */
+/** How many requests of a team a window may contain. */
 export interface ILimitTerms {
 	readonly windowMs: Millis;
-	/** Part of what the limit allows in a window that may come beyond it. */
+	/** Fraction of the requests allowed in a window by which they may be exceeded. */
 	readonly excess: number;
-	/** Requests that may come beyond that. */
+	/** Additional requests that a window may contain. */
 	readonly slack: number;
 }
 
-/** Identifier of the terms. */
+/** Identifier of the limit policy. */
 export const ILimitTerms = createServiceIdentifier<ILimitTerms>('limitTerms');
 
-/** Credits that were not spent this long after they were asked for are void, by their holder's clock. */
-export const CREDIT_LIFE_MS: Millis = 2500;
-/** The ledger takes credits as spent this much later: a clock runs a little slower, an answer was on its way. */
-export const LAPSE_MARGIN_MS: Millis = 500;
-/** Part of what a window may hold that is used: requests that were let through apart may reach targets closer together. */
-const USED_PART = 0.92;
+/** Unspent credits expire this long after they were requested, by the clock of their holder. */
+export const CREDIT_LIFETIME_MS: Millis = 2500;
+/** The ledger counts unreported credits as spent this much later, to allow for clock drift and messages in transit. */
+export const EXPIRY_MARGIN_MS: Millis = 500;
+/** Fraction of the requests that a window may contain that is admitted: delays may bring requests closer together on their way to targets. */
+const USABLE_FRACTION = 0.92;
 
-/** The most requests of a team that may be let through in a window. */
-export function mostInWindow({ perSecond, burst }: TeamLimit, { windowMs, excess, slack }: ILimitTerms): number {
+/** Maximum number of requests of a team that may be admitted in a window. */
+export function maxRequestsPerWindow(
+	{ perSecond, burst }: TeamLimit,
+	{ windowMs, excess, slack }: ILimitTerms
+): number {
 	const allowed = (perSecond * windowMs) / 1000 + burst;
-	return Math.floor(USED_PART * (allowed * (1 + excess) + slack));
+	return Math.floor(USABLE_FRACTION * (allowed * (1 + excess) + slack));
 }
 
-/** How long requests count that were let through by credits of a leader before, from the beginning of the next one. */
-export function settleMs({ windowMs }: ILimitTerms): Millis {
-	return windowMs + CREDIT_LIFE_MS + LAPSE_MARGIN_MS;
+/** How long requests admitted by credits of earlier leaders count after a new leader has started. */
+export function settlementMs({ windowMs }: ILimitTerms): Millis {
+	return windowMs + CREDIT_LIFETIME_MS + EXPIRY_MARGIN_MS;
 }
--- a/src/plugins/limits/common/limitWire.ts
+++ b/src/plugins/limits/common/limitWire.ts
@@ -2,43 +2,43 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The methods by which entry instances take credits of teams at control, and control instances get them from the leader. */
+/** Peer methods by which entry instances take team credits from control instances, and control instances renew them at the leader. */
 
 import type { Millis } from '../../../base/clock.js';
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 
-/** What a holder says of the credits that it got of one team since its start, and what it needs. */
+/** A holder's totals of one team's credits since its start, and the credits that it requests. */
 export interface CreditReport {
 	readonly team: string;
-	/** Credits that it got. */
+	/** Credits that it received. */
 	readonly received: number;
-	/** Credits that requests used. */
+	/** Credits that were spent on requests. */
 	readonly spent: number;
-	/** Credits that lapsed, or that it gives back. */
+	/** Credits that expired or were returned unused. */
 	readonly returned: number;
 	/** Requests that wait for a credit. */
 	readonly needed: number;
-	/** Credits that it would like to get for what comes next, which are given as far as there is room. */
+	/** Credits for expected requests, granted as far as there is capacity. */
 	readonly ahead: number;
 }
 
-/** What it gets. */
+/** The leader's response to a report. */
 export interface CreditGrant {
 	readonly granted: number;
-	/** When there may be a credit for requests that got none; 0 where none waits. */
+	/** Time until there may be credits for requests that got none; 0 if none is waiting. */
 	readonly roomInMs: Millis;
 }
 
-/** Says what became of credits, and asks for more; several such calls of one holder may be under way at once. */
+/** Reports on credits and requests more. A holder may have several such calls in flight. */
 export interface RenewRequest {
-	/** Another one after each start of the control instance. */
+	/** Id of the holder; a new one after each start of the control instance. */
 	readonly holder: string;
-	/** Grows with each call; what one says of credits that was overtaken does not count. */
+	/** Increases with each call; reports that arrive after a later call are ignored. */
 	readonly sequence: number;
 	readonly reports: readonly CreditReport[];
 }
 
-/** The grants, in the order of the reports; absent where the answerer does not lead. */
+/** The grants, in the order of the reports; absent if the responding instance is not the leader. */
 export interface RenewResponse {
 	readonly grants?: readonly CreditGrant[];
 }
@@ -48,18 +48,18 @@
 	readonly team: string;
 	/** Requests that wait for a credit. */
 	readonly needed: number;
-	/** Credits that were taken before and not used. */
+	/** Credits that were taken before and not spent. */
 	readonly returned: number;
 }
 
-/** What the control instance gives, itself or through an entry instance. */
+/** Response of a control instance, received directly or through an entry instance. */
 export interface TakeResponse {
 	readonly granted: number;
-	/** When there may be a credit for what was not granted; 0 where that is not known, since the leader could not be asked. */
+	/** Time until there may be credits for requests that got none; 0 if unknown because the leader could not be reached. */
 	readonly retryAfterMs: Millis;
 }
 
-/** Takes credits from a control instance, or has an entry instance of the same data hall take them. */
+/** Takes credits from a control instance, or through another entry instance of the same data hall. */
 export const takeMethod = defineUnary<TakeRequest, TakeResponse>('limits', 'Take');
-/** Renews the credits of a control instance. */
+/** Renews the credits of a control instance at the leader. */
 export const renewMethod = defineUnary<RenewRequest, RenewResponse>('limits', 'Renew');
--- a/src/plugins/limits/common/spendHistory.ts
+++ b/src/plugins/limits/common/spendHistory.ts
@@ -2,65 +2,64 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** When the requests of a team were let through, for as long as a window looks back. */
+/** The admitted requests of a team in the last window. */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** Requests within this time share an entry. */
-const STEP_MS = 100;
+const BUCKET_MS = 100;
 
-interface Entry {
-	/** The end of its step: no request of it was let through later. */
-	readonly at: Millis;
+interface Bucket {
+	/** End of the bucket; none of its requests was admitted later. */
+	readonly endsAt: Millis;
 	count: number;
 }
 
-/** Counts of the last window. */
+/** Counts of admitted requests, in buckets of `BUCKET_MS`. */
 export class SpendHistory {
-	private readonly _entries: Entry[] = [];
+	private readonly _buckets: Bucket[] = [];
 	private _total = 0;
 
 	constructor(private readonly _windowMs: Millis) {}
 
-	/** Requests that were let through in the window before now. */
+	/** Requests admitted in the window that ends now. */
 	total(now: Millis): number {
-		while (this._entries.length > 0 && this._entries[0]!.at + this._windowMs <= now) {
-			this._total -= this._entries.shift()!.count;
+		while (this._buckets.length > 0 && this._buckets[0]!.endsAt + this._windowMs <= now) {
+			this._total -= this._buckets.shift()!.count;
 		}
 		return this._total;
 	}
 
-	/** Requests were let through by now. */
+	/** Adds requests that were admitted up to now. */
 	add(count: number, now: Millis): void {
-		const at = Math.ceil(now / STEP_MS) * STEP_MS;
-		const last = this._entries.at(-1);
-		if (last?.at === at) {
+		const endsAt = Math.ceil(now / BUCKET_MS) * BUCKET_MS;
+		const last = this._buckets.at(-1);
+		if (last?.endsAt === endsAt) {
 			last.count += count;
 		} else {
-			this._entries.push({ at, count });
+			this._buckets.push({ endsAt, count });
 		}
 		this._total += count;
 	}
 
-	/** Requests that were counted have not run. The oldest ones go, which leave the window first: it is never too few. */
+	/** Removes requests that did not run. Takes the oldest ones, which leave the window first, so that the total is never too low. */
 	remove(count: number): void {
-		let left = Math.min(count, this._total);
-		this._total -= left;
-		while (left > 0) {
-			const oldest = this._entries[0]!;
-			const part = Math.min(left, oldest.count);
+		let remaining = Math.min(count, this._total);
+		this._total -= remaining;
+		while (remaining > 0) {
+			const oldest = this._buckets[0]!;
+			const part = Math.min(remaining, oldest.count);
 			oldest.count -= part;
-			left -= part;
+			remaining -= part;
 			if (oldest.count === 0) {
-				this._entries.shift();
+				this._buckets.shift();
 			}
 		}
 	}
 
-	/** When so many of the counted requests will have left the window; infinite where there are fewer. */
-	roomInMs(count: number, now: Millis): Millis {
+	/** Time until `count` of the counted requests have left the window; infinite if there are fewer. */
+	capacityWaitMs(count: number, now: Millis): Millis {
 		let freed = 0;
-		for (const { at, count: leaving } of this._entries) {
+		for (const { endsAt: at, count: leaving } of this._buckets) {
 			freed += leaving;
 			if (freed >= count) {
 				return Math.max(0, at + this._windowMs - now);
--- a/src/plugins/limits/common/targetLimit.ts
+++ b/src/plugins/limits/common/targetLimit.ts
@@ -2,122 +2,126 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The limit that one life of a target names for all instances together, as far as this instance knows. */
+/** The rate limit of one target incarnation for all instances together, as known to this instance. */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** What an answer changed in what is known of a limit. */
+/** How a known limit changed; the values are logged. */
 export enum LimitChange {
+	/** The target has a limit and had none before. */
 	Named = 'named',
 	Lowered = 'lowered',
 	Raised = 'raised',
+	/** The target no longer has a limit. */
 	Ended = 'ended'
 }
 
-/** What an answer says of the limit of its target. */
-export interface LimitWord {
-	/** Requests a second; undefined where it names none. */
+/** The rate limit that a target reports in a response. */
+export interface LimitReport {
+	/** Requests per second; undefined if it reports no limit. */
 	readonly perSecond: number | undefined;
-	/** When the answered request may have been written, on the monotonic clock. */
+	/** When the request of this response was written, on the monotonic clock. */
 	readonly askedAt: Millis;
 }
 
-/** An answer of the target itself goes before what control tells for this long. */
-const OWN_WORD_MS: Millis = 1000;
-/** A limit of nothing counts as this many requests a second: somebody has to ask on, or nobody would hear when it ends. */
-const LEAST_PER_SECOND = 0.1;
-/** Places that gather while nobody needs them: more would let a sender send more than its part of the limit in a short time. */
-const MOST_PERMITS = 1;
+/** For this long after a report of the target itself, a higher limit in its record is ignored. */
+const TARGET_REPORT_PRECEDENCE_MS: Millis = 1000;
+/** Lower limits, also 0, count as this many requests per second, since only responses of the target tell when they end. */
+const MIN_PER_SECOND = 0.1;
+/** Maximum number of unused permits; more would allow bursts above this instance's share of the limit. */
+const MAX_PERMITS = 1;
 
 /**
- * A limit, and this instance's permits within it. A permit is a request that may be written to the target; permits come at this instance's part
- * of the limit, so that over all instances a window holds what the limit allows and one more for each sender.
+ * A rate limit, and this instance's permits within it: a token bucket with one token for each request that may be sent, refilled at this
+ * instance's share of the limit. Over all instances, a window contains at most the allowed requests and one more for each sender.
  */
 export class TargetLimit {
 	private _perSecond: number | undefined;
 	private _knownSince: Millis = Number.NEGATIVE_INFINITY;
-	/** When an answer of the target was last believed. */
-	private _heardAt: Millis = Number.NEGATIVE_INFINITY;
-	/** When what holds was last named, by the target or by control. */
-	private _namedAt: Millis = Number.NEGATIVE_INFINITY;
-	private _told: number | undefined;
+	/** When a report of the target was last accepted. */
+	private _reportedAt: Millis = Number.NEGATIVE_INFINITY;
+	/** When the current limit was last set or confirmed, by the target or by its record. */
+	private _confirmedAt: Millis = Number.NEGATIVE_INFINITY;
+	/** Limit that the target's record had last. */
+	private _recorded: number | undefined;
 	private _permits = 0;
 	private _refilledAt: Millis = 0;
 
-	/** Requests a second that the target takes from all instances together; undefined where it names no limit. */
+	/** Requests per second from all instances together; undefined if there is no limit. */
 	get perSecond(): number | undefined {
 		return this._perSecond;
 	}
 
-	/** Since when the limit, or that there is none, is known. */
+	/** Since when the current limit, or its absence, is known. */
 	get knownSince(): Millis {
 		return this._knownSince;
 	}
 
 	/**
-	 * Takes the word of an answer in. Answers overtake each other: a higher limit, or none, counts only where its request was sent after
-	 * the lower one had last been named here.
-	 * @returns undefined where it changes nothing
+	 * Applies the report in a response. Responses may arrive out of order: a higher limit, or none, is accepted only if its request was
+	 * sent after the lower one was last confirmed here.
+	 * @returns undefined if nothing changed
 	 */
-	hear({ perSecond, askedAt }: LimitWord, now: Millis): LimitChange | undefined {
-		if (isHigher(changeOf(this._perSecond, perSecond)) && askedAt <= this._namedAt) {
+	hear({ perSecond, askedAt }: LimitReport, now: Millis): LimitChange | undefined {
+		if (isIncrease(changeOf(this._perSecond, perSecond)) && askedAt <= this._confirmedAt) {
 			return undefined;
 		}
-		this._heardAt = now;
+		this._reportedAt = now;
 		return this._set(perSecond, now);
 	}
 
 	/**
-	 * Takes in what the target's record has, where that has changed.
-	 * @returns undefined where it changes nothing
+	 * Applies the limit in the target's record if it differs from the last one there.
+	 * @returns undefined if nothing changed
 	 */
-	takeTold(told: number | undefined, now: Millis): LimitChange | undefined {
-		if (told === this._told) {
+	applyRecorded(recorded: number | undefined, now: Millis): LimitChange | undefined {
+		if (recorded === this._recorded) {
 			return undefined;
 		}
-		this._told = told;
-		const isContradicted = now - this._heardAt < OWN_WORD_MS && isHigher(changeOf(this._perSecond, told));
-		return isContradicted ? undefined : this._set(told, now);
+		this._recorded = recorded;
+		const isContradicted =
+			now - this._reportedAt < TARGET_REPORT_PRECEDENCE_MS && isIncrease(changeOf(this._perSecond, recorded));
+		return isContradicted ? undefined : this._set(recorded, now);
 	}
 
 	/**
-	 * Whether a request may be written to the target now.
-	 * @param share this instance's part of the limit, 0 to 1
+	 * Whether a request may be sent to the target now.
+	 * @param share this instance's share of the limit, 0 to 1
 	 */
 	hasPermit(share: number, now: Millis): boolean {
-		return this.permitInMs(share, now) === 0;
+		return this.permitWaitMs(share, now) === 0;
 	}
 
-	/** Takes a permit, if there is one. */
-	takePermit(share: number, now: Millis): boolean {
-		const isThere = this.hasPermit(share, now);
-		if (isThere && this._perSecond !== undefined) {
+	/** Takes a permit if one is available; always succeeds without a limit. */
+	tryTakePermit(share: number, now: Millis): boolean {
+		const isAvailable = this.hasPermit(share, now);
+		if (isAvailable && this._perSecond !== undefined) {
 			this._permits--;
 		}
-		return isThere;
+		return isAvailable;
 	}
 
-	/** A permit was not used: nothing was written. */
+	/** Returns a permit whose request was not sent. */
 	giveBack(): void {
-		this._permits = Math.min(MOST_PERMITS, this._permits + 1);
+		this._permits = Math.min(MAX_PERMITS, this._permits + 1);
 	}
 
-	/** When the next permit comes; 0 where there is one or no limit, infinite for an instance without a part. */
-	permitInMs(share: number, now: Millis): Millis {
+	/** Time until the next permit; 0 if one is available or there is no limit, infinite for an instance without a share. */
+	permitWaitMs(share: number, now: Millis): Millis {
 		if (this._perSecond === undefined) {
 			return 0;
 		}
 		if (share === 0) {
 			return Number.POSITIVE_INFINITY;
 		}
-		const perMs = (share * Math.max(LEAST_PER_SECOND, this._perSecond)) / 1000;
-		this._permits = Math.min(MOST_PERMITS, this._permits + (now - this._refilledAt) * perMs);
+		const perMs = (share * Math.max(MIN_PER_SECOND, this._perSecond)) / 1000;
+		this._permits = Math.min(MAX_PERMITS, this._permits + (now - this._refilledAt) * perMs);
 		this._refilledAt = now;
 		return this._permits >= 1 ? 0 : (1 - this._permits) / perMs;
 	}
 
 	private _set(perSecond: number | undefined, now: Millis): LimitChange | undefined {
-		this._namedAt = now;
+		this._confirmedAt = now;
 		const change = changeOf(this._perSecond, perSecond);
 		if (change === LimitChange.Named) {
 			this._permits = 0;
@@ -131,19 +135,19 @@
 	}
 }
 
-function isHigher(change: LimitChange | undefined): boolean {
+function isIncrease(change: LimitChange | undefined): boolean {
 	return change === LimitChange.Raised || change === LimitChange.Ended;
 }
 
-function changeOf(before: number | undefined, after: number | undefined): LimitChange | undefined {
-	if (before === after) {
+function changeOf(previous: number | undefined, next: number | undefined): LimitChange | undefined {
+	if (previous === next) {
 		return undefined;
 	}
-	if (before === undefined) {
+	if (previous === undefined) {
 		return LimitChange.Named;
 	}
-	if (after === undefined) {
+	if (next === undefined) {
 		return LimitChange.Ended;
 	}
-	return after < before ? LimitChange.Lowered : LimitChange.Raised;
+	return next < previous ? LimitChange.Lowered : LimitChange.Raised;
 }
--- a/src/plugins/limits/common/targetLimitTable.ts
+++ b/src/plugins/limits/common/targetLimitTable.ts
@@ -3,9 +3,9 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The limits of all targets as one entry instance knows them; pure, it is told the time. The senders in a target's record hold equal parts of
- * its limit. Any other instance asks one of them for a permit for each request: so the sum is what the senders let through, whoever believes
- * what, and callers need not come to a sender for the limit to be used, or for its end to be heard.
+ * The rate limits of all targets as known to one entry instance; the caller passes the current time. The senders in a target's record
+ * have equal shares of its limit. Any other instance requests a permit from one of them for each request. The total is thus what the
+ * senders admit, whatever view each instance has, and requests at any instance can use the limit and reveal its end.
  */
 
 import type { Millis } from '../../../base/clock.js';
@@ -14,92 +14,93 @@
 import type { FleetView } from '../../fleet/common/fleetView.js';
 import type { ToldLimit } from '../../fleet/common/fleetWire.js';
 import type { PaceShare } from '../../fleet/common/paceShare.js';
-import type { PermitAnswer, PermitRequest } from './permitWire.js';
-import { type LimitWord, TargetLimit } from './targetLimit.js';
+import type { PermitResponse, PermitRequest } from './permitWire.js';
+import { type LimitReport, TargetLimit } from './targetLimit.js';
 import type { ITargetRoom, LimitedTarget, TargetLimitEvent } from './targetLimits.js';
 
-/** Part of a limit that it may be off before control is told of it anew: senders go by the answers of their target. */
-const TOLD_APART = 0.1;
-/** A sender that has no permit is not asked again before this, however soon it may have one. */
-const LEAST_WAIT_MS: Millis = 25;
-/** A sender that gave no answer, or does not hold a part any more, is asked again after this. */
-const NO_ANSWER_WAIT_MS: Millis = 1000;
+/** Relative change of a limit from which it is reported to control; smaller ones reach the senders by the target's responses. */
+const REPORT_THRESHOLD_FRACTION = 0.1;
+/** Minimum delay before a sender that had no permit is asked again. */
+const MIN_DENIED_RETRY_MS: Millis = 25;
+/** Delay before a sender is asked again that did not respond or no longer has a share. */
+const UNRESPONSIVE_RETRY_MS: Millis = 1000;
 const SWEEP_INTERVAL_MS: Millis = 10000;
 
-/** What is known of the limit of one life of a target. */
+/** The known limit of one target incarnation. */
 interface KnownLimit {
 	readonly bornAt: number;
 	readonly limit: TargetLimit;
-	/** Until when there is no use in asking each sender. */
-	readonly askFrom: Map<string, Millis>;
+	/** When a permit may be requested again, by sender. */
+	readonly retryAtByProvider: Map<string, Millis>;
 }
 
-/** A sender, and where to ask it. */
-export interface Lender {
+/** A sender from which permits can be requested. */
+export interface PermitProvider {
 	readonly name: string;
-	/** Address for calls between processes. */
+	/** Address for peer calls. */
 	readonly address: string;
 }
 
-/** Limits by target. */
+/** Known limits by target. */
 export class TargetLimitTable implements ITargetRoom {
 	private readonly _limits = new Map<string, KnownLimit>();
 	private readonly _onDidChange = new Emitter<TargetLimitEvent>();
 	readonly onDidChange = this._onDidChange.event;
-	/** Senders that gave no answer, and when they are asked again. */
-	private readonly _silentUntil = new Map<string, Millis>();
+	/** When senders that did not respond may be asked again, by name. */
+	private readonly _unresponsiveUntil = new Map<string, Millis>();
 	private _sweptAt: Millis = 0;
 
-	/** @param _share this instance's part of what targets take */
+	/** @param _share this instance's share of the limits of targets */
 	constructor(
 		private readonly _view: FleetView,
 		private readonly _share: PaceShare
 	) {}
 
 	perSecond(record: TargetRecord, now: Millis): number | undefined {
-		return this._knownOf(record, now)?.limit.perSecond;
+		return this._knownLimit(record, now)?.limit.perSecond;
 	}
 
-	isOpen(record: TargetRecord, mayAsk: boolean, now: Millis): boolean {
-		const known = this._knownOf(record, now);
+	isOpen(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean {
+		const known = this._knownLimit(record, now);
 		if (known?.limit.perSecond === undefined) {
 			return true;
 		}
 		const share = this._share.of(record);
-		return share > 0 ? known.limit.hasPermit(share, now) : mayAsk && this.lender(record, now) !== undefined;
+		return share > 0 ? known.limit.hasPermit(share, now) : mayAskOthers && this.lender(record, now) !== undefined;
 	}
 
 	permitInMs(record: TargetRecord, now: Millis): Millis {
-		const known = this._knownOf(record, now);
+		const known = this._knownLimit(record, now);
 		const share = this._share.of(record);
 		if (!known || share > 0) {
-			return known?.limit.permitInMs(share, now) ?? 0;
+			return known?.limit.permitWaitMs(share, now) ?? 0;
 		}
-		return Math.max(0, Math.min(...this._lenders(record).map(({ name }) => this._askFrom(record, name))) - now);
+		return Math.max(0, Math.min(...this._permitProviders(record).map(({ name }) => this._retryAt(record, name))) - now);
 	}
 
-	/** Since when what is known of a target's limit holds. */
+	/** Since when the current limit of a target, or its absence, is known. */
 	knownSince({ id, bornAt }: TargetRecord): Millis {
 		const known = this._limits.get(id);
 		return known?.bornAt === bornAt ? known.limit.knownSince : Number.NEGATIVE_INFINITY;
 	}
 
-	/** Takes in what an answer of a target says of its limit. */
-	hear(record: TargetRecord, word: LimitWord, now: Millis): void {
-		const known = this._knownOf(record, now) ?? (word.perSecond === undefined ? undefined : this._begin(record));
-		const change = known?.limit.hear(word, now);
+	/** Applies the limit reported in a response of a target. */
+	hear(record: TargetRecord, report: LimitReport, now: Millis): void {
+		const known =
+			this._knownLimit(record, now) ?? (report.perSecond === undefined ? undefined : this._addLimit(record));
+		const change = known?.limit.hear(report, now);
 		if (change !== undefined) {
 			this._onDidChange.fire({ record, change, perSecond: known!.limit.perSecond, source: 'target' });
 		}
 	}
 
-	/** Takes a permit of this instance's own part. */
+	/** Takes a permit of this instance's own share, if one is available. */
 	takeOwn(record: TargetRecord, now: Millis): boolean {
 		const share = this._share.of(record);
-		return share > 0 && (this._knownOf(record, now)?.limit.takePermit(share, now) ?? true);
+		return share > 0 && (this._knownLimit(record, now)?.limit.tryTakePermit(share, now) ?? true);
 	}
 
-	/** A permit of this instance's own part was not used. */
+	/** Returns an unused permit of this instance's own share. */
 	giveBack({ id, bornAt }: TargetRecord): void {
 		const known = this._limits.get(id);
 		if (known?.bornAt === bornAt) {
@@ -107,85 +108,85 @@
 		}
 	}
 
-	/** Another instance asks for a permit. */
-	lend({ targetId, bornAt }: PermitRequest, now: Millis): PermitAnswer {
+	/** Handles a permit request of another instance. */
+	lend({ targetId, bornAt }: PermitRequest, now: Millis): PermitResponse {
 		const record = this._view.target(targetId)?.record;
 		const share = record?.bornAt === bornAt ? this._share.of(record) : 0;
 		if (!record || share === 0) {
-			return { isGranted: false, waitMs: NO_ANSWER_WAIT_MS };
+			return { isGranted: false, waitMs: UNRESPONSIVE_RETRY_MS };
 		}
 		const isGranted = this.takeOwn(record, now);
 		return { isGranted, waitMs: isGranted ? 0 : this.permitInMs(record, now) };
 	}
 
-	/** The sender to ask for a permit; undefined where none can be asked now. */
-	lender(record: TargetRecord, now: Millis): Lender | undefined {
-		return this._lenders(record).find(({ name }) => this._askFrom(record, name) <= now);
+	/** The sender to request a permit from; undefined if none can be asked now. */
+	lender(record: TargetRecord, now: Millis): PermitProvider | undefined {
+		return this._permitProviders(record).find(({ name }) => this._retryAt(record, name) <= now);
 	}
 
-	/** A sender had no permit. */
-	noteDenied(record: TargetRecord, lender: string, waitMs: Millis, now: Millis): void {
-		this._knownOf(record, now)?.askFrom.set(lender, now + Math.max(LEAST_WAIT_MS, waitMs));
+	/** Records that a sender had no permit. */
+	noteDenied(record: TargetRecord, providerName: string, waitMs: Millis, now: Millis): void {
+		this._knownLimit(record, now)?.retryAtByProvider.set(providerName, now + Math.max(MIN_DENIED_RETRY_MS, waitMs));
 	}
 
-	/** A sender gave no answer: it is not asked for a while, for whatever target. */
-	noteSilent(lender: string, now: Millis): void {
-		this._silentUntil.set(lender, now + NO_ANSWER_WAIT_MS);
+	/** Records that a sender did not respond; it is skipped for all targets for some time. */
+	noteSilent(providerName: string, now: Millis): void {
+		this._unresponsiveUntil.set(providerName, now + UNRESPONSIVE_RETRY_MS);
 	}
 
-	/** Limits that targets named, or ended, here, and that their records do not have. */
+	/** Limits known here that differ from the records of their targets, also those that have ended. */
 	untold(now: Millis): ToldLimit[] {
-		return this._current(now).flatMap(({ record, limit: { perSecond } }) =>
-			isApart(perSecond, record.limitPerSecond)
+		return this._currentLimits(now).flatMap(({ record, limit: { perSecond } }) =>
+			differsFromRecorded(perSecond, record.limitPerSecond)
 				? [{ id: record.id, bornAt: record.bornAt, perSecond: perSecond ?? null }]
 				: []
 		);
 	}
 
-	/** The targets that name a limit now. */
+	/** The targets that have a limit now. */
 	limited(now: Millis): LimitedTarget[] {
-		return this._current(now).flatMap(({ record: { id, service }, limit: { perSecond } }) =>
+		return this._currentLimits(now).flatMap(({ record: { id, service }, limit: { perSecond } }) =>
 			perSecond === undefined ? [] : [{ id, service, perSecond }]
 		);
 	}
 
-	/** When there is use in asking a sender for a permit. */
-	private _askFrom({ id }: TargetRecord, lender: string): Millis {
-		const askFrom = this._limits.get(id)?.askFrom.get(lender) ?? Number.NEGATIVE_INFINITY;
-		return Math.max(askFrom, this._silentUntil.get(lender) ?? Number.NEGATIVE_INFINITY);
+	/** When a permit may be requested from a sender. */
+	private _retryAt({ id }: TargetRecord, providerName: string): Millis {
+		const retryAt = this._limits.get(id)?.retryAtByProvider.get(providerName) ?? Number.NEGATIVE_INFINITY;
+		return Math.max(retryAt, this._unresponsiveUntil.get(providerName) ?? Number.NEGATIVE_INFINITY);
 	}
 
-	private _lenders({ pacedSenders }: TargetRecord): Lender[] {
+	private _permitProviders({ pacedSenders }: TargetRecord): PermitProvider[] {
 		return pacedSenders.flatMap(name => {
 			const address = this._view.senderAddress(name);
 			return address === undefined ? [] : [{ name, address }];
 		});
 	}
 
-	private _current(now: Millis): { readonly record: TargetRecord; readonly limit: TargetLimit }[] {
+	private _currentLimits(now: Millis): { readonly record: TargetRecord; readonly limit: TargetLimit }[] {
 		this._sweep(now);
 		return [...this._limits.keys()].flatMap(id => {
 			const record = this._view.target(id)?.record;
-			const limit = record && this._knownOf(record, now)?.limit;
+			const limit = record && this._knownLimit(record, now)?.limit;
 			return limit ? [{ record, limit }] : [];
 		});
 	}
 
-	/** What is known of a target's limit, with what control told last; undefined where it never named one. */
-	private _knownOf(record: TargetRecord, now: Millis): KnownLimit | undefined {
+	/** The known limit of a target, updated from its record; undefined if it never had one. */
+	private _knownLimit(record: TargetRecord, now: Millis): KnownLimit | undefined {
 		let known = this._limits.get(record.id);
 		if (known?.bornAt !== record.bornAt) {
-			known = record.limitPerSecond === undefined ? undefined : this._begin(record);
+			known = record.limitPerSecond === undefined ? undefined : this._addLimit(record);
 		}
-		const change = known?.limit.takeTold(record.limitPerSecond, now);
+		const change = known?.limit.applyRecorded(record.limitPerSecond, now);
 		if (change !== undefined) {
 			this._onDidChange.fire({ record, change, perSecond: known!.limit.perSecond, source: 'control' });
 		}
 		return known;
 	}
 
-	private _begin({ id, bornAt }: TargetRecord): KnownLimit {
-		const known = { bornAt, limit: new TargetLimit(), askFrom: new Map<string, Millis>() };
+	private _addLimit({ id, bornAt }: TargetRecord): KnownLimit {
+		const known = { bornAt, limit: new TargetLimit(), retryAtByProvider: new Map<string, Millis>() };
 		this._limits.set(id, known);
 		return known;
 	}
@@ -203,6 +204,8 @@
 	}
 }
 
-function isApart(known: number | undefined, told: number | undefined): boolean {
-	return known === undefined || told === undefined ? known !== told : Math.abs(known - told) > TOLD_APART * told;
+function differsFromRecorded(known: number | undefined, recorded: number | undefined): boolean {
+	return known === undefined || recorded === undefined
+		? known !== recorded
+		: Math.abs(known - recorded) > REPORT_THRESHOLD_FRACTION * recorded;
 }
--- a/src/plugins/limits/common/targetLimits.ts
+++ b/src/plugins/limits/common/targetLimits.ts
@@ -2,61 +2,62 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the part that carries requests sees of the limits that targets name for all instances together. */
+/** Interface to the rate limits that targets set for all instances together. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { Event } from '../../../base/event.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { TargetRecord } from '../../fleet/common/fleetTypes.js';
-import type { LimitChange, LimitWord } from './targetLimit.js';
+import type { LimitChange, LimitReport } from './targetLimit.js';
 
-/** What is known of a target's limit has changed. */
+/** A change of the known limit of a target. */
 export interface TargetLimitEvent {
 	readonly record: TargetRecord;
 	readonly change: LimitChange;
-	/** Requests a second; undefined where it names no limit any more. */
+	/** Requests per second; undefined if it no longer has a limit. */
 	readonly perSecond: number | undefined;
-	/** Who said so. */
+	/** Whether the change came from a response of the target or from its record. */
 	readonly source: 'target' | 'control';
 }
 
-/** A target that names a limit. */
+/** A target with a rate limit. */
 export interface LimitedTarget {
 	readonly id: string;
 	readonly service: string;
+	/** Requests per second. */
 	readonly perSecond: number;
 }
 
-/** Leave to write one request to a target with a limit. */
+/** Permission to send one request to a target with a limit. */
 export interface IPermit {
-	/** Nothing was written. */
+	/** Returns the permit if its request was not sent. */
 	giveBack(): void;
 }
 
-/** How much room there is within the limits of targets, as far as this instance knows. */
+/** Remaining capacity within the limits of targets, as known to this instance. */
 export interface ITargetRoom {
-	/** Requests a second that a target takes from all instances together; undefined where it names no limit. */
+	/** Requests per second that a target accepts from all instances together; undefined if it has no limit. */
 	perSecond(record: TargetRecord, now: Millis): number | undefined;
 	/**
-	 * Whether a target has no limit, or there may be a permit for a request.
-	 * @param mayAsk whether another instance may be asked for one
+	 * Whether a target has no limit, or a permit may be available.
+	 * @param mayAskOthers whether a permit may be requested from another instance
 	 */
-	isOpen(record: TargetRecord, mayAsk: boolean, now: Millis): boolean;
-	/** When there may be a permit; 0 where there may be one now. */
+	isOpen(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean;
+	/** Time until a permit may be available; 0 if one may be available now. */
 	permitInMs(record: TargetRecord, now: Millis): Millis;
 }
 
 /** The limits of targets at one entry instance. */
 export interface ITargetLimits extends ITargetRoom {
-	/** Fires when what is known of a limit has changed. */
+	/** Fires when a known limit has changed. */
 	readonly onDidChange: Event<TargetLimitEvent>;
-	/** Takes in what an answer of a target says of its limit. */
-	hear(record: TargetRecord, word: LimitWord): void;
-	/** Since when what is known of a target's limit holds. */
+	/** Applies the limit reported in a response of a target. */
+	hear(record: TargetRecord, report: LimitReport): void;
+	/** Since when the current limit of a target, or its absence, is known. */
 	knownSince(record: TargetRecord): Millis;
-	/** Takes a permit for one request to a target with a limit, of this instance's part or of another's; undefined where there is none. */
+	/** Takes a permit for one request to a target with a limit, from this instance's share or from another instance; undefined if none is available. */
 	take(record: TargetRecord): IPermit | undefined | Promise<IPermit | undefined>;
-	/** The targets that name a limit now. */
+	/** The targets that have a limit now. */
 	limited(): readonly LimitedTarget[];
 }
 
--- a/src/plugins/limits/common/teamLimits.ts
+++ b/src/plugins/limits/common/teamLimits.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the part that carries requests sees of the limits of teams. */
+/** Interface to the request limits of teams. */
 
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
@@ -11,26 +11,26 @@
 /** Whether a request of a team may be sent. */
 export enum LimitVerdict {
 	Admitted = 'admitted',
-	/** The team has used up its limit. */
+	/** The team has reached its limit. */
 	OverLimit = 'over-limit',
-	/** Nobody could be asked, and nothing is left of what was given before. */
+	/** No control instance could be reached, and no credits are left. */
 	Unknown = 'unknown'
 }
 
-/** The verdict, and when asking again may help. */
+/** The verdict, and the delay after which a retry may succeed. */
 export interface LimitAnswer {
 	readonly verdict: LimitVerdict;
-	/** 0 for a request that is admitted. */
+	/** 0 if the request is admitted. */
 	readonly retryAfterMs: Millis;
 }
 
 /** The limits of teams at one entry instance. */
 export interface ITeamLimits {
-	/** Asks for leave to send one request to one target. */
+	/** Decides whether one request may be sent to one target. */
 	admit(team: Team): LimitAnswer | Promise<LimitAnswer>;
-	/** A request that was admitted has not run and never will. */
+	/** Returns the credit of an admitted request that will not run. */
 	giveBack(team: Team): void;
 }
 
-/** Identifier of the limits. */
+/** Identifier of the limits of teams. */
 export const ITeamLimits = createServiceIdentifier<ITeamLimits>('teamLimits');
--- a/src/plugins/limits/limits.entry.plugin.ts
+++ b/src/plugins/limits/limits.entry.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the limits of teams on entry instances. */
+/** Registers the limits of teams and targets on entry instances. */
 
 import {
 	ContributionPhase,
@@ -18,7 +18,7 @@
 pluginRegistry.registerSingleton(ITeamLimits, TeamLimitsTask);
 pluginRegistry.registerSingleton(ITargetLimits, TargetLimitsTask);
 
-/** Opens the way between the entry instances of a data hall. */
+/** Opens the peer listener for the other entry instances of the data hall. */
 class TeamLimitsContribution implements IContribution {
 	constructor(@ITeamLimits private readonly _limits: TeamLimitsTask) {}
 
--- a/src/plugins/limits/node/creditHolder.ts
+++ b/src/plugins/limits/node/creditHolder.ts
@@ -3,9 +3,9 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The credits that a control instance holds for the entry instances that ask it, mostly those of its data hall. A team meets one
- * of many entry instances once in seconds, so credits that each of them held were mostly in the wrong place; held by the hall
- * they are taken within a fraction of a millisecond, and a few holders renew them at the leader ahead of need.
+ * The credits that a control instance holds for entry instances, mostly those of its data hall. A team's requests are spread over
+ * many entry instances, where credits would often be held by one that doesn't need them. Few holders near the entry instances
+ * keep access fast, and renew the credits at the leader ahead of need.
  */
 
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -16,133 +16,137 @@
 import type { CreditGrant, CreditReport, RenewRequest, TakeRequest, TakeResponse } from '../common/limitWire.js';
 import { TeamCredits } from '../common/teamCredits.js';
 
-/** Time between renewals; credits live for five of them. */
-const RENEW_MS = 500;
-/** Longest that a request waits for the leader: a call to another region and back, twice. */
-const WAIT_MS = 200;
-/** Requests that begin to wait within this time share a call. */
-const GATHER_MS = 3;
-/** An answer to a need that comes later than this is not counted, and the ledger finds that its credits were lost. */
-const NEED_ANSWER_MS = 500;
-/** A renewal that is answered late counts all the same: on a crowded link every one may be late; see `HolderAccount`. */
-const RENEW_ANSWER_MS = 1000;
-/** A team that was told to be over its limit does not ask again before this. */
-const EMPTY_PAUSE_MS = 100;
-const LEAST_RETRY_MS = 100;
-const MOST_RETRY_MS = 2000;
-
-/** Asks the leader's ledger; undefined where no leader answers. */
+/** Interval of periodic renewals; `CREDIT_LIFETIME_MS` is five times as long. */
+const RENEW_INTERVAL_MS = 500;
+/** Maximum time that a request waits for the leader: two round trips to another region. */
+const MAX_WAIT_MS = 200;
+/** Requests that start to wait within this time share a call to the leader. */
+const BATCH_DELAY_MS = 3;
+/** Timeout of renewals for waiting requests. Credits of a later response are not used; the ledger detects that they were lost. */
+const URGENT_RENEW_TIMEOUT_MS = 500;
+/** Timeout of periodic renewals, which is longer as responses may be late on a congested link; see `GRANT_LOST_AFTER_MS`. */
+const PERIODIC_RENEW_TIMEOUT_MS = 1000;
+/** Minimum time before credits are requested again for a team over its limit. */
+const OVER_LIMIT_PAUSE_MS = 100;
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 2000;
+
+/** Renews credits at the leader's ledger; undefined if no leader responds. */
 export type RenewCredits = (request: RenewRequest, timeoutMs: Millis) => Promise<readonly CreditGrant[] | undefined>;
 
 /** Credits by team. */
 export class CreditHolder extends Disposable {
 	private readonly _credits = new Map<string, TeamCredits>();
 	private _sequence = 0;
-	/** When it was last noticed that the machine may have been suspended. */
-	private _leaptAt: Millis = Number.NEGATIVE_INFINITY;
-	/** The call that gathers what requests need. */
-	private _needs: Promise<boolean> | undefined;
+	/** When a possible suspension of the machine was last detected. */
+	private _suspensionDetectedAt: Millis = Number.NEGATIVE_INFINITY;
+	/** The next call for waiting requests, until it is sent; resolves with whether the leader responded. */
+	private _urgentRenewal: Promise<boolean> | undefined;
 
 	/**
-	 * @param _holder name of this holder, another one after each start
-	 * @param _limitOf the limit of a team by the table that this instance knows; undefined for none
+	 * @param _holderId id of this holder, a new one after each start
+	 * @param _limitOf limit of a team in the route table known to this instance; undefined for none
 	 */
 	constructor(
-		private readonly _holder: string,
+		private readonly _holderId: string,
 		private readonly _renewAtLeader: RenewCredits,
 		private readonly _limitOf: (team: string) => TeamLimit | undefined,
 		private readonly _log: ILogService,
 		private readonly _suspension: ISuspensionWatch = new SuspensionWatch()
 	) {
 		super();
-		const timer = setInterval(() => void this._renew(() => true, RENEW_ANSWER_MS), RENEW_MS);
+		const timer = setInterval(() => void this._renew(() => true, PERIODIC_RENEW_TIMEOUT_MS), RENEW_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
-	/** Takes credits; at once where there are enough, or none to be had. */
+	/** Takes credits; synchronously if there are enough, or if the team is known to be over its limit. */
 	take({ team, needed, returned }: TakeRequest): TakeResponse | Promise<TakeResponse> {
-		this._lapseAfterLeap();
+		this._expireAfterSuspension();
 		const now = systemClock.now();
-		const credits = this._creditsOf(team);
+		const credits = this._getOrCreateCredits(team);
 		credits.giveBack(returned);
-		credits.noteRequests(needed, now);
-		const granted = credits.take(needed, now);
+		credits.recordRequests(needed, now);
+		const granted = credits.takeUpTo(needed, now);
 		if (granted === needed) {
 			return { granted, retryAfterMs: 0 };
 		}
-		if (now < credits.emptyUntil) {
-			return { granted, retryAfterMs: retryAfter(credits.emptyUntil - now) };
+		if (now < credits.noCreditsUntil) {
+			return { granted, retryAfterMs: clampRetryAfterMs(credits.noCreditsUntil - now) };
 		}
-		return this._askFor(credits, granted, needed - granted);
+		return this._takeAfterRenewal(credits, granted, needed - granted);
 	}
 
-	/** Gives all credits back. */
+	/** Returns all credits to the leader. */
 	async release(): Promise<void> {
-		const reports = [...this._credits].map(([team, credits]) => credits.release(team));
+		const reports = [...this._credits].map(([team, credits]) => credits.releaseAll(team));
 		if (reports.length > 0) {
-			await this._renewAtLeader({ holder: this._holder, sequence: ++this._sequence, reports }, NEED_ANSWER_MS);
+			await this._renewAtLeader(
+				{ holder: this._holderId, sequence: ++this._sequence, reports },
+				URGENT_RENEW_TIMEOUT_MS
+			);
 		}
 	}
 
-	private async _askFor(credits: TeamCredits, granted: number, missing: number): Promise<TakeResponse> {
-		credits.waiting += missing;
-		this._needs ??= this._callForNeeds();
-		const isAnswered = await Promise.race([this._needs, pause(WAIT_MS)]);
-		this._lapseAfterLeap();
+	private async _takeAfterRenewal(credits: TeamCredits, granted: number, missing: number): Promise<TakeResponse> {
+		credits.waitingRequests += missing;
+		this._urgentRenewal ??= this._renewForWaitingRequests();
+		const isAnswered = await Promise.race([this._urgentRenewal, delay(MAX_WAIT_MS)]);
+		this._expireAfterSuspension();
 		const now = systemClock.now();
-		const added = credits.take(missing, now);
+		const added = credits.takeUpTo(missing, now);
 		const isKnown = added === missing || isAnswered;
-		return { granted: granted + added, retryAfterMs: isKnown ? retryAfter(credits.emptyUntil - now) : 0 };
+		return { granted: granted + added, retryAfterMs: isKnown ? clampRetryAfterMs(credits.noCreditsUntil - now) : 0 };
 	}
 
-	/** One call for all requests that begin to wait within a moment; resolves with whether the leader answered. */
-	private async _callForNeeds(): Promise<boolean> {
-		await pause(GATHER_MS);
-		this._needs = undefined;
-		return this._renew(([, credits]) => credits.waiting > 0, NEED_ANSWER_MS);
+	/** Renews credits for all waiting requests in one call; resolves with whether the leader responded. */
+	private async _renewForWaitingRequests(): Promise<boolean> {
+		await delay(BATCH_DELAY_MS);
+		this._urgentRenewal = undefined;
+		return this._renew(([, credits]) => credits.waitingRequests > 0, URGENT_RENEW_TIMEOUT_MS);
 	}
 
-	private async _renew(isChosen: (entry: [string, TeamCredits]) => boolean, timeoutMs: Millis): Promise<boolean> {
+	private async _renew(isIncluded: (entry: [string, TeamCredits]) => boolean, timeoutMs: Millis): Promise<boolean> {
 		const sentAt = systemClock.now();
-		const chosen = [...this._credits].filter(isChosen);
-		const reports = chosen.flatMap(([team, credits]) => {
+		const included = [...this._credits].filter(isIncluded);
+		const reports = included.flatMap(([team, credits]) => {
 			const report = credits.report(team, sentAt);
-			return credits.isNews(report) ? report : [];
+			return credits.needsSending(report) ? report : [];
 		});
 		if (reports.length === 0) {
 			return true;
 		}
-		const request = { holder: this._holder, sequence: ++this._sequence, reports };
+		const request = { holder: this._holderId, sequence: ++this._sequence, reports };
 		const grants = await this._renewAtLeader(request, timeoutMs);
-		grants?.forEach((grant, i) => this._takeGrant(reports[i]!, grant, sentAt));
+		grants?.forEach((grant, i) => this._applyGrant(reports[i]!, grant, sentAt));
 		return grants !== undefined;
 	}
 
-	/** The leader has written credits off that lapsed while this machine was suspended. */
-	private _lapseAfterLeap(): void {
+	/** Expires all credits after a suspension, during which the leader may have counted them as spent. */
+	private _expireAfterSuspension(): void {
 		if (this._suspension.takeLeap()) {
-			this._leaptAt = systemClock.now();
-			this._credits.forEach(credits => credits.lapse());
-			this._log.warn('clocks ran apart; credits lapse', { task: 'limits' });
+			this._suspensionDetectedAt = systemClock.now();
+			this._credits.forEach(credits => credits.expireAll());
+			this._log.warn('machine may have been suspended; held credits expired', { task: 'limits' });
 		}
 	}
 
-	private _takeGrant(report: CreditReport, { granted, roomInMs }: CreditGrant, sentAt: Millis): void {
-		this._lapseAfterLeap();
-		if (sentAt <= this._leaptAt) {
+	private _applyGrant(report: CreditReport, { granted, roomInMs }: CreditGrant, sentAt: Millis): void {
+		this._expireAfterSuspension();
+		if (sentAt <= this._suspensionDetectedAt) {
 			return;
 		}
 		const { team, needed } = report;
 		const credits = this._credits.get(team)!;
-		credits.noteHeard(report);
+		credits.recordAcknowledged(report);
 		credits.add(granted, sentAt);
 		if (roomInMs > 0) {
-			credits.emptyUntil = systemClock.now() + Math.min(MOST_RETRY_MS, Math.max(EMPTY_PAUSE_MS, roomInMs));
-			this._log.info('over limit', { task: 'limits', team, needed, granted, roomInMs });
+			credits.noCreditsUntil =
+				systemClock.now() + Math.min(MAX_RETRY_AFTER_MS, Math.max(OVER_LIMIT_PAUSE_MS, roomInMs));
+			this._log.info('team is over its limit', { task: 'limits', team, needed, granted, roomInMs });
 		}
 	}
 
-	private _creditsOf(team: string): TeamCredits {
+	private _getOrCreateCredits(team: string): TeamCredits {
 		let credits = this._credits.get(team);
 		if (!credits) {
 			credits = new TeamCredits();
@@ -150,16 +154,16 @@
 		}
 		const limit = this._limitOf(team);
 		if (limit) {
-			credits.noteLimit(limit.perSecond);
+			credits.applyLimit(limit.perSecond);
 		}
 		return credits;
 	}
 }
 
-function retryAfter(waitMs: Millis): Millis {
-	return Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, Math.ceil(waitMs)));
+function clampRetryAfterMs(waitMs: Millis): Millis {
+	return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs)));
 }
 
-function pause(ms: Millis): Promise<false> {
+function delay(ms: Millis): Promise<false> {
 	return new Promise(resolve => setTimeout(() => resolve(false), ms));
 }
--- a/src/plugins/limits/node/leaderLedger.ts
+++ b/src/plugins/limits/node/leaderLedger.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The leader's ledger of limits: begins with each leader, after the log says so, and answers the holders of credits. */
+/** The credit ledger of the leading control instance. Each leader starts a new one, once its start is committed to the log. */
 
 import { Disposable, toDisposable } from '../../../base/disposable.js';
 import { systemClock } from '../../../base/clock.js';
@@ -11,46 +11,46 @@
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 import { CreditLedger } from '../common/creditLedger.js';
 import { LEDGER_PART, LedgerCeilings, type LedgerCommand } from '../common/ledgerCeilings.js';
-import { type ILimitTerms, settleMs } from '../common/limitTerms.js';
+import { type ILimitTerms, settlementMs } from '../common/limitTerms.js';
 import type { RenewRequest, RenewResponse } from '../common/limitWire.js';
 
-/** Time between looks at the ceilings; a team that needs more than its ceiling waits for the log once. */
-const CEILINGS_MS = 200;
+/** Teams that need more credits than their ceiling wait for the next update. */
+const CEILING_UPDATE_INTERVAL_MS = 200;
 
-/** The ledger of this instance while it leads. */
+/** The ledger of this instance while it is the leader. */
 export class LeaderLedger extends Disposable {
 	private readonly _ceilings = new LedgerCeilings();
 	private _ledger: CreditLedger | undefined;
 	private _term = 0;
-	private _isWriting = false;
+	private _isUpdatingCeilings = false;
 	private _settleTimer: NodeJS.Timeout | undefined;
 
-	/** @param _limitOf the limit of a team by the table in force; undefined for none */
+	/** @param _limitOf limit of a team in the current route table; undefined for none */
 	constructor(
 		private readonly _agreement: IAgreement,
-		private readonly _terms: ILimitTerms,
+		private readonly _policy: ILimitTerms,
 		private readonly _limitOf: (team: string) => TeamLimit | undefined,
 		private readonly _log: ILogService
 	) {
 		super();
 		_agreement.addPart(this._ceilings);
-		this._register(_agreement.onDidChangeLeadership(isLeader => this._onLeadership(isLeader)));
-		const timer = setInterval(() => void this._writeCeilings(), CEILINGS_MS);
+		this._register(_agreement.onDidChangeLeadership(isLeader => this._onLeadershipChange(isLeader)));
+		const timer = setInterval(() => void this._updateCeilings(), CEILING_UPDATE_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 		this._register(toDisposable(() => clearTimeout(this._settleTimer)));
 	}
 
-	/** Takes a holder's reports in and gives it credits. */
+	/** Applies a holder's reports and grants credits; without grants in the response if this instance is not the leader. */
 	renew(request: RenewRequest): RenewResponse {
-		return { grants: this._inForce()?.renew(request, systemClock.now()) };
+		return { grants: this._activeLedger()?.renew(request, systemClock.now()) };
 	}
 
-	private _inForce(): CreditLedger | undefined {
+	private _activeLedger(): CreditLedger | undefined {
 		return this._agreement.hasLease() ? this._ledger : undefined;
 	}
 
-	/** Each leader begins anew: of the one before it knows the ceilings only. */
-	private _onLeadership(isLeader: boolean): void {
+	/** Each leader starts a new ledger: it knows only the ceilings of earlier ones. */
+	private _onLeadershipChange(isLeader: boolean): void {
 		this._ledger = undefined;
 		clearTimeout(this._settleTimer);
 		if (isLeader) {
@@ -58,43 +58,48 @@
 		}
 	}
 
-	/** Nothing is given out before the log says that this ledger has begun. */
+	/** Grants nothing before the start of this ledger is committed to the log. */
 	private async _begin(term: number): Promise<void> {
-		if (!(await this._propose({ type: 'begin', term })) || !this._leadsIn(term)) {
+		if (!(await this._propose({ type: 'begin', term })) || !this._isLeaderInTerm(term)) {
 			return;
 		}
 		this._term = term;
-		this._ledger = new CreditLedger(this._terms, this._ceilings, this._limitOf, systemClock.now());
-		this._log.info('ledger of limits begun', { task: 'limits', term });
-		this._settleTimer = setTimeout(() => void this._propose({ type: 'settle', term }), settleMs(this._terms));
+		this._ledger = new CreditLedger(this._policy, this._ceilings, this._limitOf, systemClock.now());
+		this._log.info('credit ledger started', { task: 'limits', term });
+		this._settleTimer = setTimeout(() => void this._propose({ type: 'settle', term }), settlementMs(this._policy));
 	}
 
-	private async _writeCeilings(): Promise<void> {
-		const ledger = this._inForce();
-		if (!ledger || this._isWriting) {
+	private async _updateCeilings(): Promise<void> {
+		const ledger = this._activeLedger();
+		if (!ledger || this._isUpdatingCeilings) {
 			return;
 		}
-		const ceilings = ledger.newCeilings(systemClock.now());
+		const ceilings = ledger.takeNewCeilings(systemClock.now());
 		if (Object.keys(ceilings).length > 0) {
-			this._isWriting = true;
+			this._isUpdatingCeilings = true;
 			await this._propose({ type: 'ceilings', term: this._term, ceilings });
-			this._isWriting = false;
+			this._isUpdatingCeilings = false;
 		}
 	}
 
-	private _leadsIn(term: number): boolean {
+	private _isLeaderInTerm(term: number): boolean {
 		const { leader, id, term: current } = this._agreement.status();
 		return leader === id && current === term;
 	}
 
-	/** @returns false where the command may not be in the log */
+	/** @returns false if the command may not be committed */
 	private async _propose(body: LedgerCommand): Promise<boolean> {
 		try {
 			await this._agreement.propose({ part: LEDGER_PART, body });
 			return true;
 		} catch (error) {
 			const { type, term } = body;
-			this._log.warn('ledger of limits not written', { task: 'limits', type, term, reason: (error as Error).message });
+			this._log.warn('cannot commit command of credit ledger', {
+				task: 'limits',
+				type,
+				term,
+				reason: (error as Error).message
+			});
 			return false;
 		}
 	}
--- a/src/plugins/limits/node/limitControlTask.ts
+++ b/src/plugins/limits/node/limitControlTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The limits of teams on a control instance: holds credits for the entry instances that ask it; the leader keeps the ledger. */
+/** The limits of teams on a control instance, which holds credits for entry instances; the leader also keeps the ledger. */
 
 import { randomUUID } from 'node:crypto';
 import { Disposable } from '../../../base/disposable.js';
@@ -17,7 +17,7 @@
 import { CreditHolder } from './creditHolder.js';
 import { LeaderLedger } from './leaderLedger.js';
 
-/** The holder of this instance's credits, and the ledger while it leads. */
+/** Holds credits at this instance, and keeps the ledger while it is the leader. */
 export class LimitControlTask extends Disposable {
 	private readonly _holder: CreditHolder;
 	private readonly _ledger: LeaderLedger;
@@ -26,26 +26,26 @@
 		@IPeerCalls private readonly _calls: IPeerCalls,
 		@IAgreement private readonly _agreement: IAgreement,
 		@IFleetControl fleet: IFleetControl,
-		@ILimitTerms terms: ILimitTerms,
+		@ILimitTerms policy: ILimitTerms,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
 		const limitOf = (team: string): TeamLimit | undefined => fleet.team(team)?.limit;
-		this._ledger = this._register(new LeaderLedger(_agreement, terms, limitOf, _log));
+		this._ledger = this._register(new LeaderLedger(_agreement, policy, limitOf, _log));
 		this._holder = this._register(
-			new CreditHolder(randomUUID(), (request, timeoutMs) => this._renew(request, timeoutMs), limitOf, _log)
+			new CreditHolder(randomUUID(), (request, timeoutMs) => this._renewAtLeader(request, timeoutMs), limitOf, _log)
 		);
 		_calls.handleUnary(renewMethod, async request => this._ledger.renew(request));
 		_calls.handleUnary(takeMethod, async request => this._holder.take(request));
 	}
 
-	/** Gives all credits back before a planned stop, so that the others find them at the leader. */
+	/** Returns all credits before a planned stop, so that other instances can get them from the leader. */
 	drain(): Promise<void> {
 		return this._holder.release();
 	}
 
-	/** What the leader grants; undefined where it could not be asked. */
-	private async _renew(request: RenewRequest, timeoutMs: Millis): Promise<readonly CreditGrant[] | undefined> {
+	/** Requests credits from the leader; undefined if it could not be reached. */
+	private async _renewAtLeader(request: RenewRequest, timeoutMs: Millis): Promise<readonly CreditGrant[] | undefined> {
 		const { leader, id, members } = this._agreement.status();
 		if (leader === id) {
 			return this._ledger.renew(request).grants;
@@ -57,7 +57,11 @@
 		try {
 			return (await this._calls.call(address, renewMethod, request, timeoutMs)).grants;
 		} catch (error) {
-			this._log.warn('credits not renewed', { task: 'limits', leader, reason: (error as Error).message });
+			this._log.warn('cannot renew credits at the leader', {
+				task: 'limits',
+				leader,
+				reason: (error as Error).message
+			});
 			return undefined;
 		}
 	}
--- a/src/plugins/limits/node/targetLimitsTask.ts
+++ b/src/plugins/limits/node/targetLimitsTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Gives permits within the limits of targets to the requests of this instance, and to other entry instances. */
+/** Provides permits within the limits of targets to requests of this instance and to other entry instances. */
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -14,16 +14,16 @@
 import type { TargetRecord } from '../../fleet/common/fleetTypes.js';
 import { PaceShare } from '../../fleet/common/paceShare.js';
 import { permitMethod } from '../common/permitWire.js';
-import type { LimitWord } from '../common/targetLimit.js';
+import type { LimitReport } from '../common/targetLimit.js';
 import type { IPermit, ITargetLimits, LimitedTarget } from '../common/targetLimits.js';
-import { type Lender, TargetLimitTable } from '../common/targetLimitTable.js';
+import { type PermitProvider, TargetLimitTable } from '../common/targetLimitTable.js';
 
-/** A permit that takes longer to get is worth less than the next target; one of another region may take 70 ms. */
-const PERMIT_ANSWER_MS: Millis = 150;
-const TELL_INTERVAL_MS: Millis = 250;
+/** A request that waits longer for a permit is better sent to another target; a call to another region may take 70 ms. */
+const PERMIT_TIMEOUT_MS: Millis = 150;
+const REPORT_INTERVAL_MS: Millis = 250;
 
-/** What another instance gave is used at once, or lost. */
-const BORROWED: IPermit = { giveBack: () => undefined };
+/** A permit granted by another instance; it is lost if it is not used. */
+const REMOTE_PERMIT: IPermit = { giveBack: () => undefined };
 
 /** The limits of targets at this instance. */
 export class TargetLimitsTask extends Disposable implements ITargetLimits {
@@ -39,8 +39,8 @@
 		const { name } = settings.section<InstanceSettings>('instance');
 		this._table = new TargetLimitTable(_session.view, new PaceShare(name, () => _session.ageMs()));
 		_calls.handleUnary(permitMethod, async request => this._table.lend(request, systemClock.now()));
-		this._register(this.onDidChange(({ source }) => source === 'target' && this._tell(true)));
-		const timer = setInterval(() => this._tell(false), TELL_INTERVAL_MS);
+		this._register(this.onDidChange(({ source }) => source === 'target' && this._reportLimits(true)));
+		const timer = setInterval(() => this._reportLimits(false), REPORT_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
@@ -52,15 +52,15 @@
 		return this._table.perSecond(record, now);
 	}
 
-	isOpen(record: TargetRecord, mayAsk: boolean, now: Millis): boolean {
-		return this._table.isOpen(record, mayAsk, now);
+	isOpen(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean {
+		return this._table.isOpen(record, mayAskOthers, now);
 	}
 
 	permitInMs(record: TargetRecord, now: Millis): Millis {
 		return this._table.permitInMs(record, now);
 	}
 
-	hear(record: TargetRecord, word: LimitWord): void {
+	hear(record: TargetRecord, word: LimitReport): void {
 		this._table.hear(record, word, systemClock.now());
 	}
 
@@ -73,30 +73,30 @@
 		if (this._table.takeOwn(record, now)) {
 			return { giveBack: () => this._table.giveBack(record) };
 		}
-		const lender = this._table.lender(record, now);
-		return lender && this._borrow(record, lender);
+		const provider = this._table.lender(record, now);
+		return provider && this._requestPermit(record, provider);
 	}
 
 	limited(): readonly LimitedTarget[] {
 		return this._table.limited(systemClock.now());
 	}
 
-	/** What targets named to this instance is to be known to all of them. */
-	private _tell(hasNews: boolean): void {
-		this._session.tellLimits(this._table.untold(systemClock.now()), hasNews);
+	/** Reports limits to control, which passes them to all instances. */
+	private _reportLimits(isImmediate: boolean): void {
+		this._session.tellLimits(this._table.untold(systemClock.now()), isImmediate);
 	}
 
-	private async _borrow(record: TargetRecord, { name, address }: Lender): Promise<IPermit | undefined> {
+	private async _requestPermit(record: TargetRecord, { name, address }: PermitProvider): Promise<IPermit | undefined> {
 		const { id: targetId, bornAt } = record;
 		try {
-			const answer = await this._calls.call(address, permitMethod, { targetId, bornAt }, PERMIT_ANSWER_MS);
-			if (answer.isGranted) {
-				return BORROWED;
+			const response = await this._calls.call(address, permitMethod, { targetId, bornAt }, PERMIT_TIMEOUT_MS);
+			if (response.isGranted) {
+				return REMOTE_PERMIT;
 			}
-			this._table.noteDenied(record, name, answer.waitMs, systemClock.now());
+			this._table.noteDenied(record, name, response.waitMs, systemClock.now());
 		} catch (error) {
 			const reason = (error as Error).message;
-			this._log.warn('no permit got of a sender', { task: 'limits', target: targetId, sender: name, reason });
+			this._log.warn('cannot get permit from sender', { task: 'limits', target: targetId, sender: name, reason });
 			this._table.noteSilent(name, systemClock.now());
 		}
 		return undefined;
--- a/src/plugins/limits/node/teamAsker.ts
+++ b/src/plugins/limits/node/teamAdmissionQueue.ts
@@ -2,61 +2,61 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Asks for the credits that the requests of one team need at this instance, one call at a time. */
+/** Takes the credits that the requests of one team need at this instance, one call at a time. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { TakeResponse } from '../common/limitWire.js';
 import { type LimitAnswer, LimitVerdict } from '../common/teamLimits.js';
 
 const ADMITTED: LimitAnswer = { verdict: LimitVerdict.Admitted, retryAfterMs: 0 };
-/** Where nobody could be asked, a leader or a home is back after about this long. */
-const UNKNOWN_RETRY_MS = 300;
+/** Retry delay if no control instance could be reached, about the time until one is available again. */
+const UNKNOWN_RETRY_AFTER_MS = 300;
 
-/** Takes credits for some requests and gives back those that were not used before. */
-export type TakeCredits = (needed: number, returned: number) => Promise<TakeResponse>;
+/** Takes credits for `needed` requests and returns `returned` unused ones. */
+export type TakeTeamCredits = (needed: number, returned: number) => Promise<TakeResponse>;
 
 /**
- * The requests of one team that wait for a credit. While a call is under way further requests gather for the next one, so a
- * surge of a team costs no more calls than its home can answer.
+ * The requests of one team that wait for a credit. Requests that arrive while a call is in flight share the next one, which bounds
+ * the number of calls during a surge.
  */
-export class TeamAsker {
+export class TeamAdmissionQueue {
 	private _waiting: ((answer: LimitAnswer) => void)[] = [];
 	private _returned = 0;
-	private _isAsking = false;
+	private _isRequesting = false;
 
-	constructor(private readonly _take: TakeCredits) {}
+	constructor(private readonly _take: TakeTeamCredits) {}
 
-	/** Waits for leave to send one request. */
+	/** Waits for a credit for one request. */
 	admit(): Promise<LimitAnswer> {
 		return new Promise(resolve => {
 			this._waiting.push(resolve);
-			if (!this._isAsking) {
-				void this._ask();
+			if (!this._isRequesting) {
+				void this._requestCredits();
 			}
 		});
 	}
 
-	/** A credit was not used; the next call says so. */
+	/** Returns an unused credit, with the next call. */
 	giveBack(): void {
 		this._returned++;
 	}
 
-	private async _ask(): Promise<void> {
-		this._isAsking = true;
+	private async _requestCredits(): Promise<void> {
+		this._isRequesting = true;
 		while (this._waiting.length > 0) {
 			const batch = this._waiting;
 			const returned = this._returned;
 			this._waiting = [];
 			this._returned = 0;
 			const { granted, retryAfterMs } = await this._take(batch.length, returned);
-			batch.forEach((resolve, i) => resolve(i < granted ? ADMITTED : refusedFor(retryAfterMs)));
+			batch.forEach((resolve, i) => resolve(i < granted ? ADMITTED : refusal(retryAfterMs)));
 		}
-		this._isAsking = false;
+		this._isRequesting = false;
 	}
 }
 
-function refusedFor(retryAfterMs: Millis): LimitAnswer {
+function refusal(retryAfterMs: Millis): LimitAnswer {
 	return retryAfterMs > 0
 		? { verdict: LimitVerdict.OverLimit, retryAfterMs }
-		: { verdict: LimitVerdict.Unknown, retryAfterMs: UNKNOWN_RETRY_MS };
+		: { verdict: LimitVerdict.Unknown, retryAfterMs: UNKNOWN_RETRY_AFTER_MS };
 }
--- a/src/plugins/limits/node/teamLimitsTask.ts
+++ b/src/plugins/limits/node/teamLimitsTask.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The limits of teams on an entry instance: asks the nearest control instance for leave to send their requests. One that is cut
- * off from control, though callers and targets reach it, asks the other entry instances of its data hall to take credits for it.
+ * The limits of teams on an entry instance, which takes credits from the nearest control instance. If it can reach none, it takes
+ * them through another entry instance of its data hall.
  */
 
 import { Disposable } from '../../../base/disposable.js';
@@ -15,30 +15,29 @@
 import type { Team } from '../../routes/common/routeTable.js';
 import { takeMethod, type TakeRequest, type TakeResponse } from '../common/limitWire.js';
 import { type ITeamLimits, type LimitAnswer, LimitVerdict } from '../common/teamLimits.js';
-import { TeamAsker } from './teamAsker.js';
+import { TeamAdmissionQueue } from './teamAdmissionQueue.js';
 
 /**
- * A control instance that has not answered by then is given up for one call. It may wait for the leader, and its answer waits behind a
- * large one on the link of this instance: a shorter wait gives up answers that are on their way.
+ * Timeout of a call to a control instance. Leaves time for its call to the leader, and for large responses on the link of this
+ * instance that delay its response.
  */
-const CONTROL_ANSWER_MS = 500;
-/** The same for another entry instance, which asks one control instance. */
-const PEER_ANSWER_MS = 400;
-/** Who gave no answer is passed over for this long, unless it has just given another one. */
-const PASSED_OVER_MS = 3000;
-const JUST_ANSWERED_MS = 1000;
-/** Control instances that one request asks, and other entry instances after them, before it is given up. */
-const MOST_CONTROLS = 2;
-const MOST_PEERS = 1;
+const CONTROL_TIMEOUT_MS = 500;
+/** Timeout of a call to another entry instance, which calls control instances itself. */
+const PEER_TIMEOUT_MS = 400;
+/** How long an instance that did not respond is skipped, unless it has responded within `RECENT_RESPONSE_MS`. */
+const UNRESPONSIVE_RETRY_MS = 3000;
+const RECENT_RESPONSE_MS = 1000;
+const MAX_CONTROL_ATTEMPTS = 2;
+const MAX_PEER_ATTEMPTS = 1;
 
 const ADMITTED: LimitAnswer = { verdict: LimitVerdict.Admitted, retryAfterMs: 0 };
 const UNKNOWN: TakeResponse = { granted: 0, retryAfterMs: 0 };
 
-/** Leave for the requests of teams. */
+/** Admits requests of teams within their limits. */
 export class TeamLimitsTask extends Disposable implements ITeamLimits {
-	private readonly _askers = new Map<string, TeamAsker>();
-	private readonly _passedOverUntil = new Map<string, Millis>();
-	private readonly _answeredAt = new Map<string, Millis>();
+	private readonly _queues = new Map<string, TeamAdmissionQueue>();
+	private readonly _skippedUntil = new Map<string, Millis>();
+	private readonly _lastResponseAt = new Map<string, Millis>();
 
 	constructor(
 		@IFleetSession private readonly _session: IFleetSession,
@@ -46,71 +45,76 @@
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
-		_calls.handleUnary(takeMethod, async request => (await this._takeAtControl(request)) ?? UNKNOWN);
+		_calls.handleUnary(takeMethod, async request => (await this._takeFromControl(request)) ?? UNKNOWN);
 	}
 
-	/** Opens the listener for the other instances of the hall. */
+	/** Opens the peer listener for the other entry instances of the data hall. */
 	async start(): Promise<void> {
 		await this._calls.listen();
 	}
 
 	admit(team: Team): LimitAnswer | Promise<LimitAnswer> {
-		return team.limit ? this._askerOf(team.name).admit() : ADMITTED;
+		return team.limit ? this._getOrCreateQueue(team.name).admit() : ADMITTED;
 	}
 
 	giveBack(team: Team): void {
 		if (team.limit) {
-			this._askerOf(team.name).giveBack();
+			this._getOrCreateQueue(team.name).giveBack();
 		}
 	}
 
-	private _askerOf(team: string): TeamAsker {
-		let asker = this._askers.get(team);
-		if (!asker) {
-			asker = new TeamAsker((needed, returned) => this._take({ team, needed, returned }));
-			this._askers.set(team, asker);
+	private _getOrCreateQueue(team: string): TeamAdmissionQueue {
+		let queue = this._queues.get(team);
+		if (!queue) {
+			queue = new TeamAdmissionQueue((needed, returned) => this._take({ team, needed, returned }));
+			this._queues.set(team, queue);
 		}
-		return asker;
+		return queue;
 	}
 
 	private async _take(request: TakeRequest): Promise<TakeResponse> {
-		return (await this._takeAtControl(request)) ?? (await this._takeAtPeer(request)) ?? UNKNOWN;
+		return (await this._takeFromControl(request)) ?? (await this._takeFromPeer(request)) ?? UNKNOWN;
 	}
 
-	/** The nearest control instances one after the other; undefined where none answers. */
-	private _takeAtControl(request: TakeRequest): Promise<TakeResponse | undefined> {
-		return this._takeAtFirst(this._session.controlAddresses(), MOST_CONTROLS, request, CONTROL_ANSWER_MS);
+	/** Tries the nearest control instances one after the other; undefined if none responds. */
+	private _takeFromControl(request: TakeRequest): Promise<TakeResponse | undefined> {
+		return this._takeFromFirstResponding(
+			this._session.controlAddresses(),
+			MAX_CONTROL_ATTEMPTS,
+			request,
+			CONTROL_TIMEOUT_MS
+		);
 	}
 
-	private _takeAtPeer(request: TakeRequest): Promise<TakeResponse | undefined> {
-		return this._takeAtFirst(this._session.view.hallPeers, MOST_PEERS, request, PEER_ANSWER_MS);
+	private _takeFromPeer(request: TakeRequest): Promise<TakeResponse | undefined> {
+		return this._takeFromFirstResponding(this._session.view.hallPeers, MAX_PEER_ATTEMPTS, request, PEER_TIMEOUT_MS);
 	}
 
-	private async _takeAtFirst(
+	private async _takeFromFirstResponding(
 		addresses: readonly string[],
-		most: number,
+		maxAttempts: number,
 		request: TakeRequest,
 		timeoutMs: Millis
 	): Promise<TakeResponse | undefined> {
 		const now = systemClock.now();
-		const isAsked = (address: string): boolean => now >= (this._passedOverUntil.get(address) ?? 0);
-		for (const address of addresses.filter(isAsked).slice(0, most)) {
+		const isEligible = (address: string): boolean => now >= (this._skippedUntil.get(address) ?? 0);
+		for (const address of addresses.filter(isEligible).slice(0, maxAttempts)) {
 			try {
-				const answer = await this._calls.call(address, takeMethod, request, timeoutMs);
-				this._answeredAt.set(address, systemClock.now());
-				return answer;
+				const response = await this._calls.call(address, takeMethod, request, timeoutMs);
+				this._lastResponseAt.set(address, systemClock.now());
+				return response;
 			} catch (error) {
 				const reason = (error as Error).message;
-				this._log.warn('credits not taken', { task: 'limits', team: request.team, address, reason });
-				this._noteFailure(address, systemClock.now());
+				this._log.warn('cannot take credits', { task: 'limits', team: request.team, address, reason });
+				this._recordFailure(address, systemClock.now());
 			}
 		}
 		return undefined;
 	}
 
-	private _noteFailure(address: string, now: Millis): void {
-		if (now - (this._answeredAt.get(address) ?? Number.NEGATIVE_INFINITY) > JUST_ANSWERED_MS) {
-			this._passedOverUntil.set(address, now + PASSED_OVER_MS);
+	private _recordFailure(address: string, now: Millis): void {
+		if (now - (this._lastResponseAt.get(address) ?? Number.NEGATIVE_INFINITY) > RECENT_RESPONSE_MS) {
+			this._skippedUntil.set(address, now + UNRESPONSIVE_RETRY_MS);
 		}
 	}
 }
--- a/src/plugins/limits/test/limitSteps.ts
+++ b/src/plugins/limits/test/limitSimulationSteps.ts
@@ -2,14 +2,14 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Steps that a fleet of holders may take, drawn in any order: requests, calls with their fates, restarts, changes of leader. */
+/** Steps that a simulation of holders may take, drawn in any order: requests, calls with their fates, restarts, changes of leader. */
 
 import fc from 'fast-check';
-import { type Fleet, HOLDERS } from './limitFleet.js';
+import { type LimitSimulation, DEFAULT_HOLDER_COUNT } from './limitSimulation.js';
 
-const holderIndex = fc.integer({ min: 0, max: HOLDERS - 1 });
+const holderIndex = fc.integer({ min: 0, max: DEFAULT_HOLDER_COUNT - 1 });
 /** A step under one leader. */
-export const step = fc.oneof(
+export const singleLeaderStep = fc.oneof(
 	{ weight: 6, arbitrary: fc.record({ type: fc.constant('pass' as const), ms: fc.integer({ min: 1, max: 400 }) }) },
 	{
 		weight: 8,
@@ -43,54 +43,54 @@
 );
 
 /** A step that may change the leader, too. */
-export const leaderStep = fc.oneof(
-	{ weight: 30, arbitrary: step },
+export const multiLeaderStep = fc.oneof(
+	{ weight: 30, arbitrary: singleLeaderStep },
 	{ weight: 2, arbitrary: fc.record({ type: fc.constant('changeLeader' as const) }) },
 	{ weight: 1, arbitrary: fc.record({ type: fc.constant('loseAllPower' as const) }) },
 	{ weight: 1, arbitrary: fc.record({ type: fc.constant('rest' as const), ms: fc.integer({ min: 5000, max: 12000 }) }) }
 );
 
 /** One step. */
-export type Step = typeof leaderStep extends fc.Arbitrary<infer T> ? T : never;
+export type SimulationStep = typeof multiLeaderStep extends fc.Arbitrary<infer T> ? T : never;
 
-/** Has a fleet take steps. */
-export function play(fleet: Fleet, steps: readonly Step[]): void {
+/** Has a simulation take steps. */
+export function runSteps(simulation: LimitSimulation, steps: readonly SimulationStep[]): void {
 	for (const item of steps) {
 		switch (item.type) {
 			case 'changeLeader':
-				fleet.changeLeader();
+				simulation.changeLeader();
 				break;
 			case 'loseAllPower':
-				for (let i = 0; i < HOLDERS; i++) {
-					fleet.restart(i);
+				for (let i = 0; i < DEFAULT_HOLDER_COUNT; i++) {
+					simulation.restart(i);
 				}
-				fleet.now += 500;
-				fleet.changeLeader();
+				simulation.now += 500;
+				simulation.changeLeader();
 				break;
 			case 'rest':
 			case 'pass':
-				fleet.now += item.ms;
+				simulation.now += item.ms;
 				break;
 			case 'request':
-				fleet.request(item.index, item.count);
+				simulation.request(item.index, item.count);
 				break;
 			case 'renew':
-				fleet.renew(item.index, item.fate);
+				simulation.renew(item.index, item.fate);
 				break;
 			case 'need':
-				fleet.need(item.index, item.count, item.fate);
+				simulation.renewUrgently(item.index, item.count, item.fate);
 				break;
 			case 'giveBack':
-				fleet.giveBack(item.index);
+				simulation.giveBack(item.index);
 				break;
 			case 'writeCeilings':
-				fleet.writeCeilings(item.isCommitted);
+				simulation.updateCeilings(item.isCommitted);
 				break;
 			case 'restart':
-				fleet.restart(item.index);
+				simulation.restart(item.index);
 				break;
 			case 'renewAll':
-				fleet.renewAll();
+				simulation.renewAll();
 				break;
 		}
 	}
--- a/src/plugins/limits/test/teamAsker.test.ts
+++ b/src/plugins/limits/test/teamAdmissionQueue.test.ts
@@ -7,12 +7,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LimitVerdict } from '../common/teamLimits.js';
-import { TeamAsker } from '../node/teamAsker.js';
+import { TeamAdmissionQueue } from '../node/teamAdmissionQueue.js';
 
 test('requests that come while a call is under way share the next one, and say what was not used', async () => {
 	const calls: [number, number][] = [];
 	const answers: ((answer: { granted: number; retryAfterMs: number }) => void)[] = [];
-	const asker = new TeamAsker((needed, returned) => {
+	const asker = new TeamAdmissionQueue((needed, returned) => {
 		calls.push([needed, returned]);
 		return new Promise(resolve => answers.push(resolve));
 	});
--- a/src/plugins/limits/test/teamLimits.test.ts
+++ b/src/plugins/limits/test/teamLimits.test.ts
@@ -23,10 +23,10 @@
 	limit: { perSecond: 10, burst: 10 },
 	homeRegions: []
 };
-const ONE: TakeResponse = { granted: 1, retryAfterMs: 0 };
+const ONE_GRANTED: TakeResponse = { granted: 1, retryAfterMs: 0 };
 
 /** The task with peers that answer, or not, by their address. */
-class Asked {
+class TaskFixture {
 	readonly addresses: string[] = [];
 	handler: ((request: TakeRequest) => Promise<TakeResponse>) | undefined;
 	readonly task: TeamLimitsTask;
@@ -54,14 +54,14 @@
 }
 
 test('the nearest control instance is asked, and nobody for a team without a limit', async () => {
-	const asked = new Asked(() => ONE);
+	const asked = new TaskFixture(() => ONE_GRANTED);
 	assert.equal(await asked.verdict(), LimitVerdict.Admitted);
 	assert.equal(await asked.verdict({ ...LIMITED, name: 'free', limit: undefined }), LimitVerdict.Admitted);
 	assert.deepEqual(asked.addresses, ['near:1']);
 });
 
 test('an instance that is cut off from control has another one of its hall take credits', async () => {
-	const asked = new Asked(address => (address.startsWith('peer') ? ONE : undefined));
+	const asked = new TaskFixture(address => (address.startsWith('peer') ? ONE_GRANTED : undefined));
 	assert.equal(await asked.verdict(), LimitVerdict.Admitted);
 	assert.deepEqual(asked.addresses, ['near:1', 'far:1', 'peer:1']);
 	assert.equal(await asked.verdict(), LimitVerdict.Admitted);
@@ -69,7 +69,7 @@
 });
 
 test('what is asked for another instance goes to control only', async () => {
-	const asked = new Asked(() => undefined);
+	const asked = new TaskFixture(() => undefined);
 	const answer = await asked.handler!({ team: 'growers', needed: 1, returned: 0 });
 	assert.deepEqual(answer, { granted: 0, retryAfterMs: 0 });
 	assert.deepEqual(asked.addresses, ['near:1', 'far:1']);
@@ -78,7 +78,7 @@
 
 test('a control instance that has just answered is asked again after one that was lost', async () => {
 	let isLost = false;
-	const asked = new Asked(address => (isLost && address === 'near:1' ? undefined : ONE));
+	const asked = new TaskFixture(address => (isLost && address === 'near:1' ? undefined : ONE_GRANTED));
 	await asked.verdict();
 	isLost = true;
 	await asked.verdict();
@@ -88,6 +88,6 @@
 });
 
 test('a team beyond its limit is told when to come back', async () => {
-	const asked = new Asked(() => ({ granted: 0, retryAfterMs: 700 }));
+	const asked = new TaskFixture(() => ({ granted: 0, retryAfterMs: 700 }));
 	assert.deepEqual(await asked.task.admit(LIMITED), { verdict: LimitVerdict.OverLimit, retryAfterMs: 700 });
 });
