--- a/src/plugins/limits/common/limitTerms.ts
+++ b/src/plugins/limits/common/limitTerms.ts
@@ -18,7 +18,7 @@
 }
 
 /** Identifier of the limit policy. */
-export const ILimitTerms = createServiceIdentifier<ILimitTerms>('limitTerms');
+export const ILimitTerms = createServiceIdentifier<ILimitTerms>('limitPolicy');
 
 /** Unspent credits expire this long after they were requested, by the clock of their holder. */
 export const CREDIT_LIFETIME_MS: Millis = 2500;
--- a/src/plugins/limits/node/teamAdmissionQueue.ts
+++ b/src/plugins/limits/node/teamAdmissionQueue.ts
@@ -20,7 +20,7 @@
  * the number of calls during a surge.
  */
 export class TeamAdmissionQueue {
-	private _waiting: ((answer: LimitAnswer) => void)[] = [];
+	private _waiting: ((decision: LimitAnswer) => void)[] = [];
 	private _returned = 0;
 	private _isRequesting = false;
 
--- a/src/plugins/limits/test/creditHolder.test.ts
+++ b/src/plugins/limits/test/creditHolder.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A holder that was suspended does not spend credits that the leader has written off meanwhile. */
+/** A holder that was suspended must not spend credits that the leader has counted as spent meanwhile. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,12 +13,12 @@
 const LOG = { info: () => undefined, warn: () => undefined } as unknown as ILogService;
 const ONE_REQUEST = { team: 't', needed: 1, returned: 0 };
 
-/** A holder, and a leader that gives what it is asked for while it leads. */
+/** A holder, and a leader that grants what is requested while it is available. */
 class HolderFixture {
 	readonly renewals: RenewRequest[] = [];
 	isLeaderAvailable = true;
 	wasSuspended = false;
-	/** Called while the leader's answer is on its way. */
+	/** Called while the leader's response is in transit. */
 	onRenewal = (): void => undefined;
 	readonly holder = new CreditHolder(
 		'h',
@@ -41,23 +41,23 @@
 	);
 }
 
-test('credits that were held before a suspension are not spent after it, and go back', async () => {
-	const setting = new HolderFixture();
-	const { holder } = setting;
+test('credits held before a suspension are not spent after it, and are returned', async () => {
+	const fixture = new HolderFixture();
+	const { holder } = fixture;
 	assert.equal((await holder.take(ONE_REQUEST)).granted, 1);
-	assert.equal((await holder.take(ONE_REQUEST)).granted, 1, 'of those that are held');
-	setting.isLeaderAvailable = false;
-	setting.wasSuspended = true;
+	assert.equal((await holder.take(ONE_REQUEST)).granted, 1, 'from held credits');
+	fixture.isLeaderAvailable = false;
+	fixture.wasSuspended = true;
 	assert.deepEqual(await holder.take(ONE_REQUEST), { granted: 0, retryAfterMs: 0 });
-	const { received, spent, returned } = setting.renewals.at(-1)!.reports[0]!;
+	const { received, spent, returned } = fixture.renewals.at(-1)!.reports[0]!;
 	assert.deepEqual([spent, received - returned], [2, 2]);
 	holder.dispose();
 });
 
-test('a grant that was on its way during a suspension is not counted', async () => {
-	const setting = new HolderFixture();
-	const { holder } = setting;
-	setting.onRenewal = () => (setting.wasSuspended = true);
+test('a grant in transit during a suspension is ignored', async () => {
+	const fixture = new HolderFixture();
+	const { holder } = fixture;
+	fixture.onRenewal = () => (fixture.wasSuspended = true);
 	assert.equal((await holder.take(ONE_REQUEST)).granted, 0);
 	holder.dispose();
 });
--- a/src/plugins/limits/test/limitSimulation.ts
+++ b/src/plugins/limits/test/limitSimulation.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Holders of credits, the leader's ledger and the network between them, and load patterns that a test plays against them. */
+/** Simulation of credit holders, the leader's ledger and the network between them, with load patterns for tests. */
 
 import { CreditLedger } from '../common/creditLedger.js';
 import { LedgerCeilings } from '../common/ledgerCeilings.js';
@@ -10,14 +10,14 @@
 import type { CreditGrant, RenewRequest } from '../common/limitWire.js';
 import { TeamCredits } from '../common/teamCredits.js';
 
-/** How windows are judged here. */
+/** Limit policy of all simulations. */
 export const POLICY: ILimitTerms = { windowMs: 5000, excess: 0.1, slack: 20 };
-/** The team of all requests. */
+/** Team of all simulated requests. */
 export const TEAM = 'team';
-/** Control instances, where a test does not say how many. */
+/** Number of control instances, unless a test sets another one. */
 export const DEFAULT_HOLDER_COUNT = 6;
 
-/** A control instance as far as its credits go. */
+/** The credits of a control instance. */
 export class SimulatedHolder {
 	credits = new TeamCredits();
 	private _sequence = 0;
@@ -29,13 +29,13 @@
 	}
 }
 
-/** Holders, the leader's ledger and the network between them, with requests that pass counted by their time. */
+/** Holders and the leader's ledger; records the times of admitted requests. */
 export class LimitSimulation {
 	now = 1000000;
 	readonly admittedAt: number[] = [];
 	refusedCount = 0;
-	/** Requests that found no credit at their holder. */
-	leaderRequestCount = 0;
+	/** Number of requests that found no credit at their holder, so that it called the leader. */
+	urgentRenewalCount = 0;
 	private readonly _ceilings = new LedgerCeilings();
 	private _term = 0;
 	private _termStartedAt = 0;
@@ -62,12 +62,12 @@
 		this.refusedCount += count - taken;
 	}
 
-	/** A request that waits for the leader where there is no credit. */
+	/** A request that waits for a renewal if its holder has no credit. */
 	requestWithRenewal(index: number): void {
 		const { credits } = this._holders[index]!;
 		credits.recordRequests(1, this.now);
 		if (credits.takeUpTo(1, this.now) === 0) {
-			this.leaderRequestCount++;
+			this.urgentRenewalCount++;
 			this.renewUrgently(index, 1, 'answered');
 			if (credits.takeUpTo(1, this.now) === 0) {
 				this.refusedCount++;
@@ -77,7 +77,7 @@
 		this.admittedAt.push(this.now);
 	}
 
-	/** A request that was let through turns out not to have run. */
+	/** Returns the credit of a request that was admitted just now and did not run. */
 	giveBack(index: number): void {
 		if (this.admittedAt.at(-1) === this.now) {
 			this.admittedAt.pop();
@@ -85,35 +85,36 @@
 		}
 	}
 
-	renew(index: number, fate: 'answered' | 'lost' | 'answer lost' | 'twice'): void {
+	renew(index: number, outcome: 'answered' | 'request lost' | 'response lost' | 'request duplicated'): void {
 		const holder = this._holders[index]!;
 		const request = holder.renewal(this.now);
-		if (fate === 'lost') {
+		if (outcome === 'request lost') {
 			return;
 		}
 		const grant = this._renewAtLeader(request);
-		if (fate === 'twice') {
+		if (outcome === 'request duplicated') {
 			this._renewAtLeader(request);
 		}
-		if (fate !== 'answer lost') {
+		if (outcome !== 'response lost') {
 			this._applyGrant(holder, request, grant, this.now);
 		}
 	}
 
-	/** Requests that wait, also where the answer comes after that to a later call. */
+	/** Renews credits for waiting requests, optionally with a later call whose messages arrive first. */
 	renewUrgently(
 		index: number,
 		count: number,
-		fate: 'answered' | 'answer lost' | 'after a renewal' | 'overtaken'
+		outcome: 'answered' | 'response lost' | 'responses reordered' | 'requests reordered'
 	): void {
 		const holder = this._holders[index]!;
 		holder.credits.waitingRequests += count;
 		const request = holder.renewal(this.now);
-		const later = fate === 'after a renewal' || fate === 'overtaken' ? holder.renewal(this.now) : undefined;
-		const renewedFirst = later && fate === 'overtaken' ? this._renewAtLeader(later) : undefined;
+		const later =
+			outcome === 'responses reordered' || outcome === 'requests reordered' ? holder.renewal(this.now) : undefined;
+		const renewedFirst = later && outcome === 'requests reordered' ? this._renewAtLeader(later) : undefined;
 		const grant = this._renewAtLeader(request);
 		const renewed = renewedFirst ?? (later && this._renewAtLeader(later));
-		if (fate === 'answer lost') {
+		if (outcome === 'response lost') {
 			return;
 		}
 		if (later) {
@@ -126,7 +127,7 @@
 		this._holders[index] = new SimulatedHolder(`c${index} again ${++this._restarts}`);
 	}
 
-	/** As the replicated log has it: a leader that lasted long enough has said so. */
+	/** Starts a new leader; the previous one has committed `settle` if it was in office for long enough. */
 	changeLeader(): void {
 		if (this._term > 0 && this.now - this._termStartedAt >= settlementMs(POLICY)) {
 			this._ceilings.apply({ type: 'settle', term: this._term });
@@ -136,7 +137,7 @@
 		this._ledger = new CreditLedger(POLICY, this._ceilings, () => this.limit, this.now);
 	}
 
-	/** The leader writes down the ceilings that it wants; they may be lost with its leadership. */
+	/** Proposes new ceilings, whose commit may fail. */
 	updateCeilings(isCommitted = true): void {
 		const ceilings = this._ledger.takeNewCeilings(this.now);
 		if (isCommitted) {
@@ -149,7 +150,7 @@
 		this.updateCeilings();
 	}
 
-	/** The most requests that passed in any window. */
+	/** Maximum number of requests admitted in any window. */
 	maxAdmittedInWindow(): number {
 		let max = 0;
 		let first = 0;
@@ -181,7 +182,7 @@
 	}
 }
 
-/** All instances ask for more than the limit, each renewing but for those that are cut off. */
+/** Sends more requests than the limit allows at all instances that are not idle; disconnected ones don't renew credits. */
 export function overload(
 	simulation: LimitSimulation,
 	spanMs: number,
@@ -203,17 +204,17 @@
 	}
 }
 
-/** Requests that come by chance at all instances, each of which waits for the leader where it finds no credit. */
+/** Sends requests at random instances and times; each waits for a renewal if it finds no credit. */
 export function sendRandomRequests(
 	simulation: LimitSimulation,
 	perSecond: number,
 	spanMs: number
-): { count: number; asked: number } {
+): { count: number; renewals: number } {
 	const stepMs = 10;
 	let seed = 7;
 	const random = (): number => (seed = (seed * 48271) % 2147483647) / 2147483647;
 	let count = 0;
-	const askedBefore = simulation.leaderRequestCount;
+	const renewalsBefore = simulation.urgentRenewalCount;
 	for (let i = 0; i < spanMs / stepMs; i++) {
 		simulation.now += stepMs;
 		if (i % 50 === 0) {
@@ -222,12 +223,12 @@
 		if (i % 20 === 0) {
 			simulation.updateCeilings();
 		}
-		for (let left = (perSecond * stepMs) / 1000; left > 0; left--) {
-			if (left >= 1 || random() < left) {
+		for (let remaining = (perSecond * stepMs) / 1000; remaining > 0; remaining--) {
+			if (remaining >= 1 || random() < remaining) {
 				count++;
 				simulation.requestWithRenewal(Math.floor(random() * simulation.size));
 			}
 		}
 	}
-	return { count, asked: simulation.leaderRequestCount - askedBefore };
+	return { count, renewals: simulation.urgentRenewalCount - renewalsBefore };
 }
--- a/src/plugins/limits/test/limitSimulationSteps.ts
+++ b/src/plugins/limits/test/limitSimulationSteps.ts
@@ -2,15 +2,15 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Steps that a simulation of holders may take, drawn in any order: requests, calls with their fates, restarts, changes of leader. */
+/** Random steps of a simulation: requests, calls with their outcomes, restarts and leader changes. */
 
 import fc from 'fast-check';
 import { type LimitSimulation, DEFAULT_HOLDER_COUNT } from './limitSimulation.js';
 
 const holderIndex = fc.integer({ min: 0, max: DEFAULT_HOLDER_COUNT - 1 });
-/** A step under one leader. */
+/** A step without a leader change. */
 export const singleLeaderStep = fc.oneof(
-	{ weight: 6, arbitrary: fc.record({ type: fc.constant('pass' as const), ms: fc.integer({ min: 1, max: 400 }) }) },
+	{ weight: 6, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 1, max: 400 }) }) },
 	{
 		weight: 8,
 		arbitrary: fc.record({
@@ -24,16 +24,16 @@
 		arbitrary: fc.record({
 			type: fc.constant('renew' as const),
 			index: holderIndex,
-			fate: fc.constantFrom('answered', 'answered', 'lost', 'answer lost', 'twice')
+			outcome: fc.constantFrom('answered', 'answered', 'request lost', 'response lost', 'request duplicated')
 		})
 	},
 	{
 		weight: 5,
 		arbitrary: fc.record({
-			type: fc.constant('need' as const),
+			type: fc.constant('renewUrgently' as const),
 			index: holderIndex,
 			count: fc.integer({ min: 1, max: 5 }),
-			fate: fc.constantFrom('answered', 'answer lost', 'after a renewal', 'overtaken')
+			outcome: fc.constantFrom('answered', 'response lost', 'responses reordered', 'requests reordered')
 		})
 	},
 	{ weight: 2, arbitrary: fc.record({ type: fc.constant('giveBack' as const), index: holderIndex }) },
@@ -42,43 +42,46 @@
 	{ weight: 2, arbitrary: fc.record({ type: fc.constant('renewAll' as const) }) }
 );
 
-/** A step that may change the leader, too. */
+/** A step that may also change the leader. */
 export const multiLeaderStep = fc.oneof(
 	{ weight: 30, arbitrary: singleLeaderStep },
 	{ weight: 2, arbitrary: fc.record({ type: fc.constant('changeLeader' as const) }) },
-	{ weight: 1, arbitrary: fc.record({ type: fc.constant('loseAllPower' as const) }) },
-	{ weight: 1, arbitrary: fc.record({ type: fc.constant('rest' as const), ms: fc.integer({ min: 5000, max: 12000 }) }) }
+	{ weight: 1, arbitrary: fc.record({ type: fc.constant('restartAll' as const) }) },
+	{
+		weight: 1,
+		arbitrary: fc.record({ type: fc.constant('waitLong' as const), ms: fc.integer({ min: 5000, max: 12000 }) })
+	}
 );
 
-/** One step. */
+/** Any step of a simulation. */
 export type SimulationStep = typeof multiLeaderStep extends fc.Arbitrary<infer T> ? T : never;
 
-/** Has a simulation take steps. */
+/** Applies steps to a simulation, in order. */
 export function runSteps(simulation: LimitSimulation, steps: readonly SimulationStep[]): void {
 	for (const item of steps) {
 		switch (item.type) {
 			case 'changeLeader':
 				simulation.changeLeader();
 				break;
-			case 'loseAllPower':
+			case 'restartAll':
 				for (let i = 0; i < DEFAULT_HOLDER_COUNT; i++) {
 					simulation.restart(i);
 				}
 				simulation.now += 500;
 				simulation.changeLeader();
 				break;
-			case 'rest':
-			case 'pass':
+			case 'waitLong':
+			case 'wait':
 				simulation.now += item.ms;
 				break;
 			case 'request':
 				simulation.request(item.index, item.count);
 				break;
 			case 'renew':
-				simulation.renew(item.index, item.fate);
+				simulation.renew(item.index, item.outcome);
 				break;
-			case 'need':
-				simulation.renewUrgently(item.index, item.count, item.fate);
+			case 'renewUrgently':
+				simulation.renewUrgently(item.index, item.count, item.outcome);
 				break;
 			case 'giveBack':
 				simulation.giveBack(item.index);
--- a/src/plugins/limits/test/limits.test.ts
+++ b/src/plugins/limits/test/limits.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The sum of a team's requests over all instances, whatever is lost, late or started again on the way. */
+/** The limit of a team over all instances holds under message loss, delays, restarts and leader changes. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -23,7 +23,7 @@
 	burst: fc.integer({ min: 0, max: 60 })
 });
 
-test('the sum of a window holds for every interleaving of requests, renewals, losses and restarts', () => {
+test('no window exceeds the limit, for any interleaving of requests, renewals, message losses and restarts', () => {
 	const steps = fc.array(singleLeaderStep, { minLength: 50, maxLength: 400 });
 	fc.assert(
 		fc.property(limits, steps, (limit, items) => {
@@ -35,7 +35,7 @@
 	);
 });
 
-test('it holds when the leader changes, also while holders go on with what they have', () => {
+test('no window exceeds the limit after a leader change while holders spend credits of the previous leader', () => {
 	const steps = fc.array(singleLeaderStep, { minLength: 50, maxLength: 200 });
 	fc.assert(
 		fc.property(limits, steps, fc.integer({ min: 0, max: 3000 }), steps, (limit, before, gapMs, later) => {
@@ -53,7 +53,7 @@
 	);
 });
 
-test('it holds with any number of leaders, losses of all power and rests', () => {
+test('no window exceeds the limit with any number of leader changes, restarts of all holders and idle times', () => {
 	const steps = fc.array(multiLeaderStep, { minLength: 100, maxLength: 400 });
 	fc.assert(
 		fc.property(limits, steps, (limit, items) => {
@@ -65,14 +65,14 @@
 	);
 });
 
-test('what holders that are cut off may still spend is kept back from the others', () => {
+test('credits that disconnected holders may still spend are not granted to others', () => {
 	const simulation = new LimitSimulation({ perSecond: 60, burst: 0 });
 	overload(simulation, 10000, []);
 	overload(simulation, 10000, [0, 1, 2]);
 	assertWithinLimit(simulation);
 });
 
-test('a new leader leaves room for holders that go on with the credits of the one before', () => {
+test('a new leader reserves capacity for holders that spend credits of the previous one', () => {
 	const simulation = new LimitSimulation({ perSecond: 60, burst: 0 });
 	overload(simulation, 10000, []);
 	simulation.changeLeader();
@@ -80,7 +80,7 @@
 	assertWithinLimit(simulation);
 });
 
-test('credits that the leader before gave out and those of the new one are within the sum together', () => {
+test('credits of the previous and the new leader together stay within the limit', () => {
 	const simulation = new LimitSimulation({ perSecond: 60, burst: 0 });
 	overload(simulation, 10000, [], [1, 2, 3, 4, 5]);
 	overload(simulation, 200, [], [0, 1, 2, 3, 4, 5]);
@@ -91,7 +91,7 @@
 	assertWithinLimit(simulation);
 });
 
-test('a lowered limit holds once what was held has lapsed', () => {
+test('a lowered limit holds once held credits have expired', () => {
 	const simulation = new LimitSimulation({ perSecond: 50, burst: 50 });
 	for (let i = 0; i < 200; i++) {
 		simulation.now += 50;
@@ -100,19 +100,19 @@
 	}
 	simulation.limit.perSecond = 5;
 	simulation.limit.burst = 5;
-	const lapsedAt = simulation.now + CREDIT_LIFETIME_MS;
+	const expiredAt = simulation.now + CREDIT_LIFETIME_MS;
 	for (let i = 0; i < 400; i++) {
 		simulation.now += 50;
 		simulation.request(i % DEFAULT_HOLDER_COUNT, 3);
 		simulation.renewAll();
 	}
-	const late = simulation.admittedAt.filter(at => at > lapsedAt);
+	const late = simulation.admittedAt.filter(at => at > expiredAt);
 	simulation.admittedAt.length = 0;
 	simulation.admittedAt.push(...late);
 	assertWithinLimit(simulation);
 });
 
-test('teams of every size that stay within their limit are hardly ever turned away', () => {
+test('at most one in 1000 requests of teams within their limit is refused', () => {
 	for (const [perSecond, burst, instances] of [
 		[5, 5, 22],
 		[20, 20, 22],
@@ -126,32 +126,35 @@
 	}
 });
 
-test('the holders of six halls have credits at hand for teams within their limit', () => {
-	for (const [perSecond, burst, mostAsked] of [
+test('holders in six data halls rarely call the leader for teams within their limit', () => {
+	for (const [perSecond, burst, maxRenewalFraction] of [
 		[5, 5, 1 / 3],
 		[20, 20, 1 / 8],
 		[300, 300, 1 / 25]
 	] as const) {
 		const simulation = new LimitSimulation({ perSecond, burst });
 		simulation.now += 10000;
-		const { count, asked } = sendRandomRequests(simulation, perSecond * 0.63, 60000);
-		assert.ok(asked <= count * mostAsked, `${perSecond} a second: ${asked} of ${count} waited for the leader`);
+		const { count, renewals } = sendRandomRequests(simulation, perSecond * 0.63, 60000);
+		assert.ok(
+			renewals <= count * maxRenewalFraction,
+			`${perSecond} a second: ${renewals} of ${count} waited for the leader`
+		);
 		assert.ok(simulation.refusedCount <= count / 1000, `${perSecond} a second: ${simulation.refusedCount} of ${count}`);
 		assertWithinLimit(simulation);
 	}
 });
 
-test('after a loss of all power a team finds credits at once where the leader before had settled', () => {
+test('after a restart of all holders a team gets credits at once if the previous leader had settled', () => {
 	const simulation = new LimitSimulation({ perSecond: 20, burst: 20 });
 	sendRandomRequests(simulation, 12, 15000);
-	runSteps(simulation, [{ type: 'loseAllPower' }]);
+	runSteps(simulation, [{ type: 'restartAll' }]);
 	const before = simulation.refusedCount;
 	const { count } = sendRandomRequests(simulation, 24, 1000);
 	assert.ok(simulation.refusedCount - before <= count / 4, `${simulation.refusedCount - before} of ${count}`);
 	assertWithinLimit(simulation);
 });
 
-test('a holder that hears nothing spends what it holds, and nothing once that has lapsed', () => {
+test('a disconnected holder spends its credits until they expire, and none after that', () => {
 	const simulation = new LimitSimulation({ perSecond: 60, burst: 20 });
 	for (let i = 0; i < 100; i++) {
 		simulation.now += 100;
@@ -159,18 +162,18 @@
 		simulation.renew(0, 'answered');
 		simulation.updateCeilings();
 	}
-	const cutAt = simulation.now;
+	const disconnectedAt = simulation.now;
 	for (let i = 0; i < 100; i++) {
 		simulation.now += 100;
 		simulation.request(0, 1);
 	}
 	const between = (from: number, to: number): number =>
-		simulation.admittedAt.filter(at => at > cutAt + from && at <= cutAt + to).length;
+		simulation.admittedAt.filter(at => at > disconnectedAt + from && at <= disconnectedAt + to).length;
 	assert.ok(between(0, CREDIT_LIFETIME_MS) >= 10, `${between(0, CREDIT_LIFETIME_MS)}`);
 	assert.equal(between(CREDIT_LIFETIME_MS, 10000), 0);
 });
 
-test('a team that sends as much as its limit allows in each window is let through', () => {
+test('at most 1 % of the requests of a team that uses its whole limit is refused', () => {
 	for (const perSecond of [8, 45, 248]) {
 		const simulation = new LimitSimulation({ perSecond, burst: perSecond });
 		sendRandomRequests(simulation, perSecond, 20000);
@@ -180,7 +183,7 @@
 	}
 });
 
-test('a new leader of teams at their usual rate turns little away', () => {
+test('a new leader refuses few requests of teams below half of their limit', () => {
 	for (const perSecond of [8, 45, 248]) {
 		const simulation = new LimitSimulation({ perSecond, burst: perSecond });
 		sendRandomRequests(simulation, 0.45 * perSecond, 15000);
@@ -195,11 +198,11 @@
 	}
 });
 
-test('a leader that lasts for a moment leaves its successor room', () => {
+test('a leader change soon after a restart of all holders leaves capacity for the new leader', () => {
 	for (const perSecond of [8, 45, 248]) {
 		const simulation = new LimitSimulation({ perSecond, burst: perSecond });
 		sendRandomRequests(simulation, 0.45 * perSecond, 15000);
-		runSteps(simulation, [{ type: 'loseAllPower' }]);
+		runSteps(simulation, [{ type: 'restartAll' }]);
 		sendRandomRequests(simulation, 0.45 * perSecond, 300);
 		simulation.changeLeader();
 		const before = simulation.refusedCount;
@@ -212,6 +215,6 @@
 	}
 });
 
-test('the bound of a window leaves a part for requests that arrive closer together than they were sent', () => {
+test('the maximum of a window leaves a margin for requests that arrive closer together than they were sent', () => {
 	assert.equal(maxRequestsPerWindow({ perSecond: 10, burst: 10 }, POLICY), Math.floor(0.92 * (60 * 1.1 + 20)));
 });
--- a/src/plugins/limits/test/teamLimits.test.ts
+++ b/src/plugins/limits/test/teamLimits.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Whom an entry instance asks for credits where control answers, and where it does not. */
+/** Which instances an entry instance takes credits from, depending on which control instances respond. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -25,23 +25,23 @@
 };
 const ONE_GRANTED: TakeResponse = { granted: 1, retryAfterMs: 0 };
 
-/** The task with peers that answer, or not, by their address. */
+/** The task with peers that respond or fail depending on their address. */
 class TaskFixture {
-	readonly addresses: string[] = [];
+	readonly calledAddresses: string[] = [];
 	handler: ((request: TakeRequest) => Promise<TakeResponse>) | undefined;
 	readonly task: TeamLimitsTask;
 
-	constructor(answerOf: (address: string) => TakeResponse | undefined) {
+	constructor(responseOf: (address: string) => TakeResponse | undefined) {
 		const calls = {
 			handleUnary: (_method: unknown, handler: (request: TakeRequest) => Promise<TakeResponse>) =>
 				(this.handler = handler),
 			call: async (address: string) => {
-				this.addresses.push(address);
-				const answer = answerOf(address);
-				if (!answer) {
+				this.calledAddresses.push(address);
+				const response = responseOf(address);
+				if (!response) {
 					throw new Error('no answer');
 				}
-				return answer;
+				return response;
 			}
 		} as unknown as IPeerCalls;
 		const session = { controlAddresses: () => CONTROLS, view: { hallPeers: PEERS } } as unknown as IFleetSession;
@@ -53,41 +53,45 @@
 	}
 }
 
-test('the nearest control instance is asked, and nobody for a team without a limit', async () => {
-	const asked = new TaskFixture(() => ONE_GRANTED);
-	assert.equal(await asked.verdict(), LimitVerdict.Admitted);
-	assert.equal(await asked.verdict({ ...LIMITED, name: 'free', limit: undefined }), LimitVerdict.Admitted);
-	assert.deepEqual(asked.addresses, ['near:1']);
+test('credits are taken from the nearest control instance, and none for a team without a limit', async () => {
+	const fixture = new TaskFixture(() => ONE_GRANTED);
+	assert.equal(await fixture.verdict(), LimitVerdict.Admitted);
+	assert.equal(await fixture.verdict({ ...LIMITED, name: 'free', limit: undefined }), LimitVerdict.Admitted);
+	assert.deepEqual(fixture.calledAddresses, ['near:1']);
 });
 
-test('an instance that is cut off from control has another one of its hall take credits', async () => {
-	const asked = new TaskFixture(address => (address.startsWith('peer') ? ONE_GRANTED : undefined));
-	assert.equal(await asked.verdict(), LimitVerdict.Admitted);
-	assert.deepEqual(asked.addresses, ['near:1', 'far:1', 'peer:1']);
-	assert.equal(await asked.verdict(), LimitVerdict.Admitted);
-	assert.deepEqual(asked.addresses.slice(3), ['farther:1', 'peer:1'], 'who did not answer is passed over');
+test('an instance that reaches no control instance takes credits through another one of its data hall', async () => {
+	const fixture = new TaskFixture(address => (address.startsWith('peer') ? ONE_GRANTED : undefined));
+	assert.equal(await fixture.verdict(), LimitVerdict.Admitted);
+	assert.deepEqual(fixture.calledAddresses, ['near:1', 'far:1', 'peer:1']);
+	assert.equal(await fixture.verdict(), LimitVerdict.Admitted);
+	assert.deepEqual(
+		fixture.calledAddresses.slice(3),
+		['farther:1', 'peer:1'],
+		'instances that did not respond are skipped'
+	);
 });
 
-test('what is asked for another instance goes to control only', async () => {
-	const asked = new TaskFixture(() => undefined);
-	const answer = await asked.handler!({ team: 'growers', needed: 1, returned: 0 });
-	assert.deepEqual(answer, { granted: 0, retryAfterMs: 0 });
-	assert.deepEqual(asked.addresses, ['near:1', 'far:1']);
-	assert.equal(await asked.verdict(), LimitVerdict.Unknown);
+test('credits for another instance are taken from control instances only', async () => {
+	const fixture = new TaskFixture(() => undefined);
+	const response = await fixture.handler!({ team: 'growers', needed: 1, returned: 0 });
+	assert.deepEqual(response, { granted: 0, retryAfterMs: 0 });
+	assert.deepEqual(fixture.calledAddresses, ['near:1', 'far:1']);
+	assert.equal(await fixture.verdict(), LimitVerdict.Unknown);
 });
 
-test('a control instance that has just answered is asked again after one that was lost', async () => {
+test('a control instance that has just responded is not skipped after one lost call', async () => {
 	let isLost = false;
-	const asked = new TaskFixture(address => (isLost && address === 'near:1' ? undefined : ONE_GRANTED));
-	await asked.verdict();
+	const fixture = new TaskFixture(address => (isLost && address === 'near:1' ? undefined : ONE_GRANTED));
+	await fixture.verdict();
 	isLost = true;
-	await asked.verdict();
+	await fixture.verdict();
 	isLost = false;
-	await asked.verdict();
-	assert.deepEqual(asked.addresses, ['near:1', 'near:1', 'far:1', 'near:1']);
+	await fixture.verdict();
+	assert.deepEqual(fixture.calledAddresses, ['near:1', 'near:1', 'far:1', 'near:1']);
 });
 
-test('a team beyond its limit is told when to come back', async () => {
-	const asked = new TaskFixture(() => ({ granted: 0, retryAfterMs: 700 }));
-	assert.deepEqual(await asked.task.admit(LIMITED), { verdict: LimitVerdict.OverLimit, retryAfterMs: 700 });
+test('a team over its limit gets a retry delay', async () => {
+	const fixture = new TaskFixture(() => ({ granted: 0, retryAfterMs: 700 }));
+	assert.deepEqual(await fixture.task.admit(LIMITED), { verdict: LimitVerdict.OverLimit, retryAfterMs: 700 });
 });
