--- a/src/plugins/limits/common/creditLedger.ts
+++ b/src/plugins/limits/common/creditLedger.ts
@@ -28,7 +28,7 @@
  * team rises; higher ones leave less capacity to the next leader.
  */
 const RAISE_FACTOR = 1.12;
-/** Credits. */
+/** Credits added to a raised ceiling. */
 const RAISE_MARGIN = 8;
 /** A ceiling that exceeds the required one by more than this factor is lowered, to leave capacity to the next leader. */
 const LOWER_THRESHOLD_FACTOR = 1.4;
@@ -113,7 +113,7 @@
 	}
 }
 
-/** The accounts of all teams while one leader is in office. */
+/** The accounts of all teams during the term of one leader. */
 export class CreditLedger {
 	private readonly _accounts = new Map<string, TeamAccount>();
 	private readonly _sequences = new Map<string, number>();
--- a/src/plugins/limits/common/holderAccount.ts
+++ b/src/plugins/limits/common/holderAccount.ts
@@ -33,13 +33,13 @@
 	private _returned: number;
 	/** Credits reported as spent since this account was opened. */
 	private _spentSinceStart = 0;
-	private readonly _initialReceived: number;
+	private readonly _receivedAtStart: number;
 	/** Credits of an earlier leader, held when this account was opened; they are covered by that leader's ceiling. */
 	private _inherited: number;
 
 	/** Opens the account with the holder's first report, which precedes any grant. */
 	constructor({ received, spent, returned }: CreditReport) {
-		this._initialReceived = received;
+		this._receivedAtStart = received;
 		this._spent = spent;
 		this._returned = returned;
 		this._inherited = received - spent - returned;
@@ -66,7 +66,7 @@
 		this._returned = returned;
 		this._spentSinceStart += newSpent;
 		this._batches.removeOldest(this._deductOlderCredits(Math.max(0, accounted)));
-		this._batches.removeOldest(this._countNewlyLost(received - this._initialReceived, now));
+		this._batches.removeOldest(this._countNewlyLost(received - this._receivedAtStart, now));
 		return newSpent;
 	}
 
--- a/src/plugins/limits/common/limitTerms.ts
+++ b/src/plugins/limits/common/limitTerms.ts
@@ -8,7 +8,7 @@
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 
-/** How many requests of a team a window may contain. */
+/** The window in which requests of a team are counted, and the tolerance beyond its limit. */
 export interface ILimitTerms {
 	readonly windowMs: Millis;
 	/** Fraction of the requests allowed in a window by which they may be exceeded. */
@@ -24,8 +24,8 @@
 export const CREDIT_LIFETIME_MS: Millis = 2500;
 /** The ledger counts unreported credits as spent this much later, to allow for clock drift and messages in transit. */
 export const EXPIRY_MARGIN_MS: Millis = 500;
-/** Fraction of the requests that a window may contain that is admitted: delays may bring requests closer together on their way to targets. */
-const USABLE_FRACTION = 0.92;
+/** Only this fraction of the allowed requests is admitted, since requests may reach targets closer together than they were admitted. */
+const ADMITTED_FRACTION = 0.92;
 
 /** Maximum number of requests of a team that may be admitted in a window. */
 export function maxRequestsPerWindow(
@@ -33,7 +33,7 @@
 	{ windowMs, excess, slack }: ILimitTerms
 ): number {
 	const allowed = (perSecond * windowMs) / 1000 + burst;
-	return Math.floor(USABLE_FRACTION * (allowed * (1 + excess) + slack));
+	return Math.floor(ADMITTED_FRACTION * (allowed * (1 + excess) + slack));
 }
 
 /** How long requests admitted by credits of earlier leaders count after a new leader has started. */
--- a/src/plugins/limits/common/targetLimit.ts
+++ b/src/plugins/limits/common/targetLimit.ts
@@ -62,8 +62,8 @@
 	 * sent after the lower one was last confirmed here.
 	 * @returns undefined if nothing changed
 	 */
-	hear({ perSecond, askedAt }: LimitReport, now: Millis): LimitChange | undefined {
-		if (isIncrease(changeOf(this._perSecond, perSecond)) && askedAt <= this._confirmedAt) {
+	hear({ perSecond, askedAt: requestSentAt }: LimitReport, now: Millis): LimitChange | undefined {
+		if (isIncrease(changeOf(this._perSecond, perSecond)) && requestSentAt <= this._confirmedAt) {
 			return undefined;
 		}
 		this._reportedAt = now;
--- a/src/plugins/limits/common/teamCredits.ts
+++ b/src/plugins/limits/common/teamCredits.ts
@@ -11,10 +11,10 @@
 
 /** Time constant of the decaying average of the request rate. */
 const RATE_TIME_CONSTANT_MS = 3000;
-/** Credits are requested for the requests expected in this time: two renewals and their responses. */
+/** Credits are prefetched for the requests expected in this time, which covers two renewals and their responses. */
 const PREFETCH_MS = 1000;
 /** Credits added to the expected requests, so that teams with few requests hold at least one. */
-const MIN_PREFETCH = 1.3;
+const PREFETCH_MARGIN = 1.3;
 /** No credits are prefetched for a team without a request for this long. */
 const IDLE_MS = 10000;
 
@@ -34,7 +34,7 @@
 
 	/** Waiting requests whose credits have not been requested yet. */
 	waitingRequests = 0;
-	/** Until then no credits are requested for requests that find none. */
+	/** Until when no credits are requested for requests that find none. */
 	noCreditsUntil: Millis = Number.NEGATIVE_INFINITY;
 
 	/** Counts requests of the team. */
@@ -101,21 +101,21 @@
 		this._perSecond = perSecond;
 	}
 
-	/** Returns all held credits, which may not be spent any more. */
-	expireAll(): void {
+	/** Returns all held credits; none of them may be spent afterwards. */
+	returnAll(): void {
 		this._returned += this._batches.removeOldest(this._batches.total);
 	}
 
 	/** Returns all held credits before the holder stops; the report tells the leader. */
 	releaseAll(team: string): CreditReport {
-		this.expireAll();
+		this.returnAll();
 		return { team, received: this._received, spent: this._spent, returned: this._returned, needed: 0, ahead: 0 };
 	}
 
 	private _targetBalance(now: Millis): number {
 		this._decayRequests(now);
 		const isIdle = now - this._lastRequestAt > IDLE_MS;
-		return isIdle ? 0 : Math.floor((this._decayedRequests / RATE_TIME_CONSTANT_MS) * PREFETCH_MS + MIN_PREFETCH);
+		return isIdle ? 0 : Math.floor((this._decayedRequests / RATE_TIME_CONSTANT_MS) * PREFETCH_MS + PREFETCH_MARGIN);
 	}
 
 	/** Returns credits beyond twice the target balance, so that other holders can get them. */
--- a/src/plugins/limits/node/creditHolder.ts
+++ b/src/plugins/limits/node/creditHolder.ts
@@ -61,7 +61,7 @@
 
 	/** Takes credits; synchronously if there are enough, or if the team is known to be over its limit. */
 	take({ team, needed, returned }: TakeRequest): TakeResponse | Promise<TakeResponse> {
-		this._expireAfterSuspension();
+		this._returnCreditsAfterSuspension();
 		const now = systemClock.now();
 		const credits = this._getOrCreateCredits(team);
 		credits.giveBack(returned);
@@ -91,7 +91,7 @@
 		credits.waitingRequests += missing;
 		this._urgentRenewal ??= this._renewForWaitingRequests();
 		const isAnswered = await Promise.race([this._urgentRenewal, delay(MAX_WAIT_MS)]);
-		this._expireAfterSuspension();
+		this._returnCreditsAfterSuspension();
 		const now = systemClock.now();
 		const added = credits.takeUpTo(missing, now);
 		const isKnown = added === missing || isAnswered;
@@ -121,17 +121,17 @@
 		return grants !== undefined;
 	}
 
-	/** Expires all credits after a suspension, during which the leader may have counted them as spent. */
-	private _expireAfterSuspension(): void {
+	/** Returns all credits after a suspension, during which the leader may have counted them as spent. */
+	private _returnCreditsAfterSuspension(): void {
 		if (this._suspension.takeLeap()) {
 			this._suspensionDetectedAt = systemClock.now();
-			this._credits.forEach(credits => credits.expireAll());
-			this._log.warn('machine may have been suspended; held credits expired', { task: 'limits' });
+			this._credits.forEach(credits => credits.returnAll());
+			this._log.warn('machine may have been suspended; returning held credits', { task: 'limits' });
 		}
 	}
 
 	private _applyGrant(report: CreditReport, { granted, roomInMs }: CreditGrant, sentAt: Millis): void {
-		this._expireAfterSuspension();
+		this._returnCreditsAfterSuspension();
 		if (sentAt <= this._suspensionDetectedAt) {
 			return;
 		}
--- a/src/plugins/limits/node/targetLimitsTask.ts
+++ b/src/plugins/limits/node/targetLimitsTask.ts
@@ -60,8 +60,8 @@
 		return this._table.permitInMs(record, now);
 	}
 
-	hear(record: TargetRecord, word: LimitReport): void {
-		this._table.hear(record, word, systemClock.now());
+	hear(record: TargetRecord, report: LimitReport): void {
+		this._table.hear(record, report, systemClock.now());
 	}
 
 	knownSince(record: TargetRecord): Millis {
