--- a/src/plugins/configuration/common/configuration.ts
+++ b/src/plugins/configuration/common/configuration.ts
@@ -2,41 +2,41 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The configuration that entry instances act on: groups, where their clients go, and what is leaving. */
+/** The replicated configuration that entry instances apply: groups, placements of their clients, and drained items. */
 
-/** Buckets that the clients of a group are hashed into; a share is a number of buckets, so one is 0.1 %. */
+/** Number of buckets that the clients of a group are hashed into; one bucket is 0.1 % of the clients. */
 export const BUCKET_COUNT = 1000;
 
-/** Revision of the configuration; it only grows. */
+/** Revision of the configuration; increases by one with every change. */
 export type Revision = number;
 
-/** What a group may use and how fast its clients may be moved. */
+/** Capacity weight of a group, and the limit on the rate at which its clients are moved between regions. */
 export interface GroupConfiguration {
 	readonly name: string;
-	/** Weight against the other groups when capacity is short, 1 to 1000. */
+	/** Weight relative to the other groups when capacity is insufficient, 1 to 1000. */
 	readonly share: number;
-	/** Most buckets of its clients that may move within a window, 1 to 1000 (0.1 % each). */
+	/** Maximum number of its buckets that may move within a window, 1 to 1000 (0.1 % each). */
 	readonly capPermille: number;
-	/** Length of that window, in milliseconds. */
+	/** Length of that window in milliseconds. */
 	readonly capWindowMs: number;
 }
 
-/** Buckets `from` (included) to `to` (excluded) that go to a region other than their home. */
+/** Buckets from `from` (inclusive) to `to` (exclusive) that are assigned to a region other than their home. */
 export interface PlacementRange {
 	readonly from: number;
 	readonly to: number;
 	readonly region: string;
 }
 
-/** Where a group's clients of one home region go; buckets in no range stay at home. */
+/** Assignment of a group's clients of one home region; buckets in no range are assigned to the home region. */
 export interface Placement {
 	readonly group: string;
 	readonly home: string;
-	/** Sorted, without overlap. */
+	/** Sorted and not overlapping. */
 	readonly ranges: readonly PlacementRange[];
 }
 
-/** What can be drained. */
+/** Kinds of items that can be drained. */
 export enum DrainScope {
 	Target = 'target',
 	Instance = 'instance',
@@ -44,27 +44,27 @@
 	Region = 'region'
 }
 
-/** Something that takes no new work. */
-export interface LeavingItem {
+/** An item that receives no new requests. */
+export interface DrainedItem {
 	readonly scope: DrainScope;
 	readonly name: string;
 }
 
-/** One change of the configuration. */
+/** A change of one part of the configuration. */
 export type ConfigurationChange =
 	| { readonly type: 'group'; readonly group: GroupConfiguration }
 	| { readonly type: 'placement'; readonly placement: Placement }
-	| { readonly type: 'leaving'; readonly item: LeavingItem; readonly present: boolean };
+	| { readonly type: 'leaving'; readonly item: DrainedItem; readonly present: boolean };
 
-/** The whole configuration as plain data. */
+/** The complete configuration in serializable form. */
 export interface ConfigurationSnapshot {
 	readonly revision: Revision;
 	readonly groups: readonly GroupConfiguration[];
 	readonly placements: readonly Placement[];
-	readonly leaving: readonly LeavingItem[];
+	readonly leaving: readonly DrainedItem[];
 }
 
-/** The changes of one revision; it applies to the revision before it. */
+/** The changes of one revision, to be applied to the previous revision. */
 export interface ConfigurationDelta {
 	readonly revision: Revision;
 	readonly changes: readonly ConfigurationChange[];
@@ -74,18 +74,17 @@
 	return `${group}|${home}`;
 }
 
-function leavingKey(scope: DrainScope, name: string): string {
+function drainedKey(scope: DrainScope, name: string): string {
 	return `${scope}|${name}`;
 }
 
-/** A configuration that changes one revision at a time. */
+/** The configuration at its current revision, updated by deltas. */
 export class ConfigurationTable {
 	private _revision: Revision = 0;
 	private readonly _groups = new Map<string, GroupConfiguration>();
 	private readonly _placements = new Map<string, Placement>();
-	private readonly _leaving = new Map<string, LeavingItem>();
+	private readonly _drained = new Map<string, DrainedItem>();
 
-	/** Creates a table, empty or from a snapshot. */
 	constructor(snapshot?: ConfigurationSnapshot) {
 		if (!snapshot) {
 			return;
@@ -93,57 +92,54 @@
 		this._revision = snapshot.revision;
 		snapshot.groups.forEach(group => this._groups.set(group.name, group));
 		snapshot.placements.forEach(item => this._placements.set(placementKey(item.group, item.home), item));
-		snapshot.leaving.forEach(item => this._leaving.set(leavingKey(item.scope, item.name), item));
+		snapshot.leaving.forEach(item => this._drained.set(drainedKey(item.scope, item.name), item));
 	}
 
-	/** Present revision; 0 before the first. */
+	/** Current revision; 0 if no change was applied yet. */
 	get revision(): Revision {
 		return this._revision;
 	}
 
-	/** All groups, by name. */
+	/** All groups, sorted by name. */
 	get groups(): GroupConfiguration[] {
 		return [...this._groups.values()].sort((a, b) => (a.name < b.name ? -1 : 1));
 	}
 
-	/** All placements that differ from home. */
+	/** All placements that assign a bucket to a region other than its home. */
 	get placements(): Placement[] {
 		return [...this._placements.values()];
 	}
 
-	/** All that is leaving. */
-	get leaving(): LeavingItem[] {
-		return [...this._leaving.values()];
+	/** All drained items. */
+	get leaving(): DrainedItem[] {
+		return [...this._drained.values()];
 	}
 
-	/** One group, if it exists. */
 	group(name: string): GroupConfiguration | undefined {
 		return this._groups.get(name);
 	}
 
-	/** The ranges of a group's clients of one home region. */
+	/** Placement of a group's clients of one home region; without ranges if they are all at home. */
 	placement(group: string, home: string): Placement {
 		return this._placements.get(placementKey(group, home)) ?? { group, home, ranges: [] };
 	}
 
-	/** Whether something was told to leave. */
 	isLeaving(scope: DrainScope, name: string): boolean {
-		return this._leaving.has(leavingKey(scope, name));
+		return this._drained.has(drainedKey(scope, name));
 	}
 
 	/**
 	 * Applies the changes of the next revision.
-	 * @throws Error when the delta does not follow the present revision
+	 * @throws Error if the delta is not for the revision after the current one
 	 */
 	apply(delta: ConfigurationDelta): void {
 		if (delta.revision !== this._revision + 1) {
-			throw new Error(`revision ${delta.revision} does not follow ${this._revision}`);
+			throw new Error(`cannot apply the delta of revision ${delta.revision} to revision ${this._revision}`);
 		}
 		delta.changes.forEach(change => this._applyChange(change));
 		this._revision = delta.revision;
 	}
 
-	/** The whole configuration as plain data. */
 	snapshot(): ConfigurationSnapshot {
 		return {
 			revision: this._revision,
@@ -162,7 +158,7 @@
 				this._setPlacement(change.placement);
 				return;
 			case 'leaving':
-				this._setLeaving(change.item, change.present);
+				this._setDrained(change.item, change.present);
 				return;
 		}
 	}
@@ -176,12 +172,12 @@
 		}
 	}
 
-	private _setLeaving(item: LeavingItem, present: boolean): void {
-		const key = leavingKey(item.scope, item.name);
+	private _setDrained(item: DrainedItem, present: boolean): void {
+		const key = drainedKey(item.scope, item.name);
 		if (present) {
-			this._leaving.set(key, item);
+			this._drained.set(key, item);
 		} else {
-			this._leaving.delete(key);
+			this._drained.delete(key);
 		}
 	}
 }
--- a/src/plugins/configuration/common/configurationSession.ts
+++ b/src/plugins/configuration/common/configurationSession.ts
@@ -2,49 +2,49 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The session between an entry instance and a control instance. */
+/** Peer methods through which entry instances receive the configuration. */
 
 import { defineStream, defineUnary } from '../../../kernel/common/peerMethods.js';
 import type { Directory, DirectoryDelta, EntryReport, RegionLoads } from '../../membership/common/entryReport.js';
 import type { ConfigurationDelta, ConfigurationSnapshot, Revision } from './configuration.js';
 
-/** From the entry instance: first with the revision it has, then at every change and interval. */
+/** Message of an entry instance: sent when the session opens, at intervals, and when its state changes. */
 export interface SessionReport {
-	/** Revision it holds, so that control sends what is missing. */
+	/** Revision the entry instance has; the control instance sends the changes after it. */
 	readonly revision: Revision;
 	readonly report: EntryReport;
 }
 
-/** From the control instance: what is new, or only that it is alive. */
+/** Message of a control instance: the changes since its previous message; without changes it is a heartbeat. */
 export interface SessionUpdate {
-	/** Milliseconds since the control instance heard from a leader with a lease. */
+	/** Milliseconds since the control instance last was, or heard from, a leader with a valid lease. */
 	readonly leaderContactAgeMs: number;
 	readonly revision: Revision;
 	readonly snapshot?: ConfigurationSnapshot;
 	readonly deltas?: readonly ConfigurationDelta[];
-	/** The whole directory, at first. */
+	/** The complete directory, in the first update that has one. */
 	readonly directory?: Directory;
-	/** What changed in the directory since the update before. */
+	/** Changes of the directory since the previous update. */
 	readonly directoryDelta?: DirectoryDelta;
-	/** Loads of the instance's own region. */
+	/** Loads of the entry instance's own region. */
 	readonly loads?: RegionLoads;
 }
 
-/** Asks a control instance for the least revision that may be in force. */
+/** Request for the current revision of a control instance, or for the snapshot of an entry instance. */
 export interface RevisionRequest {
 	readonly instance: string;
 }
 
-/** The revision of a control instance. */
+/** Current revision of a control instance. */
 export interface RevisionResponse {
 	readonly revision: Revision;
-	/** Whether it came from the leader under a lease, so that a quorum stands behind it. */
+	/** Whether the leader answered under a valid lease, so that the revision is at least as new as every committed one. */
 	readonly isAuthoritative: boolean;
 }
 
-/** Opens a session. */
+/** Stream of reports from an entry instance and of updates from a control instance. */
 export const sessionMethod = defineStream<SessionReport, SessionUpdate>('configuration', 'Session');
-/** Asks for the revision that must not be gone below. */
+/** Returns the current revision of a control instance. */
 export const revisionMethod = defineUnary<RevisionRequest, RevisionResponse>('configuration', 'Revision');
-/** Asks an entry instance of the same data hall for what it has. */
+/** Returns the configuration of an entry instance of the same data hall. */
 export const hallSnapshotMethod = defineUnary<RevisionRequest, ConfigurationSnapshot>('configuration', 'HallSnapshot');
--- a/src/plugins/configuration/common/controlCommands.ts
+++ b/src/plugins/configuration/common/controlCommands.ts
@@ -2,37 +2,37 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Commands of operators and of the leader that go through the replicated log. */
+/** Commands of operators and of the leader in the replicated log. */
 
 import type { GroupConfiguration, Revision } from './configuration.js';
 import type { Plan, PlanRecord } from './intents.js';
 
-/** Id of the replicated part that applies these commands. */
+/** Id of the part of the replicated state that applies these commands. */
 export const CONTROL_PART = 'control';
 
-/** Sets the groups of the settings; it counts only as the first command. */
+/** Sets the groups configured in the settings; has no effect if the configuration was changed before. */
 export interface InitializeCommand {
 	readonly type: 'initialize';
 	readonly groups: readonly GroupConfiguration[];
 }
 
-/** What identifies an operator's request, however often it is sent. */
+/** Idempotency key of an operator's request. */
 export interface OperatorRequestKey {
 	readonly operator: string;
-	/** The operator's own number. */
+	/** Request number chosen by the operator. */
 	readonly number: number;
-	/** SHA-256 of the content: the same number with another content is refused. */
+	/** SHA-256 of the content; a request that reuses a number with other content is refused. */
 	readonly contentDigest: string;
 }
 
-/** Stores a plan as the answer to an intent. */
+/** Stores the plan that was made for an intent. */
 export interface StorePlanCommand {
 	readonly type: 'storePlan';
 	readonly request: OperatorRequestKey;
 	readonly plan: Plan;
 }
 
-/** Puts a plan into force. */
+/** Starts a proposed plan. */
 export interface ConfirmPlanCommand {
 	readonly type: 'confirmPlan';
 	readonly request: OperatorRequestKey;
@@ -40,7 +40,7 @@
 	readonly digest: string;
 }
 
-/** Ends a running shift where it stands. */
+/** Stops a plan; its stages that were begun stay in effect. */
 export interface StopPlanCommand {
 	readonly type: 'stopPlan';
 	readonly planId: string;
@@ -50,11 +50,11 @@
 export interface BeginStageCommand {
 	readonly type: 'beginStage';
 	readonly planId: string;
-	/** Index of the stage, so that two leaders cannot begin it twice. */
+	/** Index of the stage; ensures that a stage is begun only once if the leader changes. */
 	readonly stage: number;
 }
 
-/** Marks a plan as held or running again, or as done. */
+/** Changes the status of a plan. */
 export interface MarkPlanCommand {
 	readonly type: 'markPlan';
 	readonly planId: string;
@@ -62,11 +62,11 @@
 	readonly holdReason?: string;
 }
 
-/** Any command of the control part. */
+/** Commands of the control part of the replicated state. */
 export type ControlCommand =
 	InitializeCommand | StorePlanCommand | ConfirmPlanCommand | StopPlanCommand | BeginStageCommand | MarkPlanCommand;
 
-/** Why an operator's request was refused; a closed list. */
+/** Reasons for refusing an operator's request. */
 export enum RefusalCode {
 	NumberReused = 'number-reused',
 	UnknownPlan = 'unknown-plan',
@@ -75,33 +75,33 @@
 	WrongState = 'wrong-state'
 }
 
-/** A refusal, as the replicated state decided it. */
+/** Result of a command that was refused. */
 export interface Refusal {
 	readonly ok: false;
 	readonly code: RefusalCode;
 	readonly message: string;
-	/** Parts that changed, for `BaseMoved`. */
+	/** For `BaseMoved`: parts of the configuration that changed. */
 	readonly changed?: readonly string[];
 }
 
-/** A plan was stored, or had been stored before under the same request. */
+/** Result of storing a plan; a repeated request gets the same result. */
 export interface PlanStored {
 	readonly ok: true;
 	readonly plan: Plan;
 }
 
-/** A plan is in force, or had been confirmed before under the same request. */
+/** Result of confirming a plan; a repeated request gets the same result. */
 export interface PlanConfirmed {
 	readonly ok: true;
 	readonly planId: string;
 	readonly revision: Revision;
 }
 
-/** A command of the leader took effect, or found nothing to do. */
-export interface LeaderCommandDone {
+/** Result of a command that has no other result. */
+export interface LeaderCommandApplied {
 	readonly ok: true;
 	readonly revision: Revision;
 }
 
-/** What applying a command gives. */
-export type ControlResult = Refusal | PlanStored | PlanConfirmed | LeaderCommandDone;
+/** Result of applying a control command. */
+export type ControlResult = Refusal | PlanStored | PlanConfirmed | LeaderCommandApplied;
--- a/src/plugins/configuration/common/controlState.ts
+++ b/src/plugins/configuration/common/controlState.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The control part of the replicated state: configuration, plans, and the answers that operators got. */
+/** The control part of the replicated state: configuration, plans, and results of operators' requests. */
 
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
 import { Emitter } from '../../../base/event.js';
@@ -27,14 +27,14 @@
 import { type PlanRecord, type PlanStage, PlanStatus } from './intents.js';
 import { compressPlacement, expandPlacement } from './placementBuckets.js';
 
-/** Deltas kept for subscribers that are a little behind. */
-const KEPT_DELTAS = 2048;
-/** Answers to operators kept for resending; the oldest go first. */
-const KEPT_ANSWERS = 10000;
-/** Ended or unconfirmed plans kept. */
-const KEPT_PLANS = 1000;
+/** Deltas stored for entry instances whose revision is older; beyond it they are sent a snapshot. */
+const MAX_STORED_DELTAS = 2048;
+/** Results stored to make operators' requests idempotent; the oldest are evicted first. */
+const MAX_STORED_RESULTS = 10000;
+/** Plans above this number are evicted, oldest first, unless they are running or holding. */
+const MAX_STORED_PLANS = 1000;
 
-interface StoredAnswer {
+interface StoredResult {
 	readonly contentDigest: string;
 	readonly result: ControlResult;
 }
@@ -42,13 +42,13 @@
 interface SavedControlState {
 	readonly configuration: ConfigurationSnapshot;
 	readonly deltas: readonly ConfigurationDelta[];
-	readonly answers: readonly (readonly [string, StoredAnswer])[];
+	readonly answers: readonly (readonly [string, StoredResult])[];
 	readonly plans: readonly PlanRecord[];
 	readonly changedAt: readonly (readonly [string, Revision])[];
 }
 
-/** The parts of the configuration that a change concerns, as plans name them. */
-export function touchedBy(change: ConfigurationChange): string {
+/** Returns the part of the configuration that a change modifies, as listed in `Plan.touches`. */
+export function changedPart(change: ConfigurationChange): string {
 	switch (change.type) {
 		case 'group':
 			return `group:${change.group.name}`;
@@ -59,34 +59,32 @@
 	}
 }
 
-/** Applies control commands; deterministic, so that every replica comes to the same state. */
+/** Applies control commands; must be deterministic so that all replicas have the same state. */
 export class ControlState implements IReplicatedPart {
 	readonly id = CONTROL_PART;
 	private readonly _onDidChange = new Emitter<ConfigurationDelta | undefined>();
-	/** Fires after each new revision with its delta, or without one when the state was replaced. */
+	/** Fires after each new revision with its delta, or with undefined after the state was replaced by a snapshot. */
 	readonly onDidChange = this._onDidChange.event;
 	private _configuration = new ConfigurationTable();
 	private _deltas: ConfigurationDelta[] = [];
-	private _answers = new Map<string, StoredAnswer>();
+	private _results = new Map<string, StoredResult>();
 	private _plans = new Map<string, PlanRecord>();
-	private _changedAt = new Map<string, Revision>();
+	private _lastChangeByPart = new Map<string, Revision>();
 
-	/** The configuration at the present revision. */
 	get configuration(): ConfigurationTable {
 		return this._configuration;
 	}
 
-	/** All plans held, oldest first. */
+	/** All stored plans, oldest first. */
 	get plans(): PlanRecord[] {
 		return [...this._plans.values()];
 	}
 
-	/** One plan. */
 	plan(planId: string): PlanRecord | undefined {
 		return this._plans.get(planId);
 	}
 
-	/** The deltas that lead from a revision to the present one; undefined when they are no longer held. */
+	/** Returns the deltas from a revision to the current one; undefined if they are no longer stored. */
 	deltasAfter(revision: Revision): ConfigurationDelta[] | undefined {
 		const missing = this._configuration.revision - revision;
 		if (missing < 0 || missing > this._deltas.length) {
@@ -95,9 +93,9 @@
 		return this._deltas.slice(this._deltas.length - missing);
 	}
 
-	/** The answer that a request got before; a refusal when its number was used for another content. */
+	/** Returns the result of an earlier request with the same key, or a refusal if its number was used with other content. */
 	storedAnswer(request: OperatorRequestKey): ControlResult | undefined {
-		const stored = this._answers.get(`${request.operator}#${request.number}`);
+		const stored = this._results.get(`${request.operator}#${request.number}`);
 		if (!stored || stored.contentDigest === request.contentDigest) {
 			return stored?.result;
 		}
@@ -107,9 +105,9 @@
 		);
 	}
 
-	/** Parts named by a plan that changed after a revision. */
+	/** Returns those of the given parts of the configuration that changed after a revision. */
 	changedSince(touches: readonly string[], revision: Revision): string[] {
-		return touches.filter(part => (this._changedAt.get(part) ?? 0) > revision);
+		return touches.filter(part => (this._lastChangeByPart.get(part) ?? 0) > revision);
 	}
 
 	apply(body: unknown): ControlResult {
@@ -118,9 +116,9 @@
 			case 'initialize':
 				return this._initialize(command);
 			case 'storePlan':
-				return this._answerOnce(command.request, () => this._storePlan(command));
+				return this._applyOnce(command.request, () => this._storePlan(command));
 			case 'confirmPlan':
-				return this._answerOnce(command.request, () => this._confirmPlan(command));
+				return this._applyOnce(command.request, () => this._confirmPlan(command));
 			case 'stopPlan':
 				return this._markPlan(command.planId, PlanStatus.Stopped);
 			case 'beginStage':
@@ -134,9 +132,9 @@
 		return {
 			configuration: this._configuration.snapshot(),
 			deltas: this._deltas,
-			answers: [...this._answers],
+			answers: [...this._results],
 			plans: this.plans,
-			changedAt: [...this._changedAt]
+			changedAt: [...this._lastChangeByPart]
 		};
 	}
 
@@ -144,34 +142,34 @@
 		const state = saved as SavedControlState;
 		this._configuration = new ConfigurationTable(state.configuration);
 		this._deltas = [...state.deltas];
-		this._answers = new Map(state.answers);
+		this._results = new Map(state.answers);
 		this._plans = new Map(state.plans.map(record => [record.plan.planId, record]));
-		this._changedAt = new Map(state.changedAt);
+		this._lastChangeByPart = new Map(state.changedAt);
 		this._onDidChange.fire(undefined);
 	}
 
 	private _initialize(command: InitializeCommand): ControlResult {
 		if (this._configuration.revision === 0) {
-			this._change(command.groups.map(group => ({ type: 'group', group })));
+			this._applyChanges(command.groups.map(group => ({ type: 'group', group })));
 		}
-		return this._done();
+		return this._appliedResult();
 	}
 
-	private _answerOnce(request: OperatorRequestKey, run: () => ControlResult): ControlResult {
-		const before = this.storedAnswer(request);
-		if (before) {
-			return before;
+	private _applyOnce(request: OperatorRequestKey, run: () => ControlResult): ControlResult {
+		const earlier = this.storedAnswer(request);
+		if (earlier) {
+			return earlier;
 		}
 		const result = run();
-		this._answers.set(`${request.operator}#${request.number}`, { contentDigest: request.contentDigest, result });
-		dropOldest(this._answers, KEPT_ANSWERS);
+		this._results.set(`${request.operator}#${request.number}`, { contentDigest: request.contentDigest, result });
+		evictOldest(this._results, MAX_STORED_RESULTS);
 		return result;
 	}
 
 	private _storePlan(command: StorePlanCommand): ControlResult {
 		const { plan } = command;
 		this._plans.set(plan.planId, { plan, status: PlanStatus.Proposed, stagesBegun: 0, stageRevision: 0 });
-		this._dropEndedPlans();
+		this._evictPlans();
 		return { ok: true, plan };
 	}
 
@@ -188,7 +186,7 @@
 		}
 		const changed = this.changedSince(record.plan.touches, record.plan.baseRevision);
 		if (changed.length > 0) {
-			const message = `since revision ${record.plan.baseRevision} there were changes of ${changed.join(', ')}`;
+			const message = `changed since revision ${record.plan.baseRevision}: ${changed.join(', ')}`;
 			return { ...refuse(RefusalCode.BaseMoved, message), changed };
 		}
 		this._plans.set(command.planId, { ...record, status: PlanStatus.Running });
@@ -202,17 +200,17 @@
 		if (!record || !isOpen || !stage || record.stagesBegun !== stageIndex) {
 			return refuse(RefusalCode.WrongState, `stage ${stageIndex} of plan '${planId}' cannot begin now`);
 		}
-		this._change(this._changesOf(stage));
+		this._applyChanges(this._changesForStage(stage));
 		this._plans.set(planId, {
 			plan: record.plan,
 			status: PlanStatus.Running,
 			stagesBegun: stageIndex + 1,
 			stageRevision: this._configuration.revision
 		});
-		return this._done();
+		return this._appliedResult();
 	}
 
-	private _changesOf(stage: PlanStage): ConfigurationChange[] {
+	private _changesForStage(stage: PlanStage): ConfigurationChange[] {
 		const changes: ConfigurationChange[] = stage.moves.map(move => {
 			const regions = expandPlacement(this._configuration.placement(move.group, move.home));
 			move.ranges.forEach(range => regions.fill(range.region, range.from, range.to));
@@ -233,27 +231,27 @@
 			return refuse(RefusalCode.WrongState, `plan '${planId}' is ${record?.status ?? 'unknown'}`);
 		}
 		this._plans.set(planId, { ...record, status, holdReason });
-		return this._done();
+		return this._appliedResult();
 	}
 
-	private _change(changes: readonly ConfigurationChange[]): void {
+	private _applyChanges(changes: readonly ConfigurationChange[]): void {
 		const delta: ConfigurationDelta = { revision: this._configuration.revision + 1, changes };
 		this._configuration.apply(delta);
 		this._deltas.push(delta);
-		if (this._deltas.length > KEPT_DELTAS) {
+		if (this._deltas.length > MAX_STORED_DELTAS) {
 			this._deltas.shift();
 		}
-		changes.forEach(change => this._changedAt.set(touchedBy(change), delta.revision));
+		changes.forEach(change => this._lastChangeByPart.set(changedPart(change), delta.revision));
 		this._onDidChange.fire(delta);
 	}
 
-	private _done(): ControlResult {
+	private _appliedResult(): ControlResult {
 		return { ok: true, revision: this._configuration.revision };
 	}
 
-	private _dropEndedPlans(): void {
+	private _evictPlans(): void {
 		for (const [planId, record] of this._plans) {
-			if (this._plans.size <= KEPT_PLANS) {
+			if (this._plans.size <= MAX_STORED_PLANS) {
 				return;
 			}
 			if (record.status !== PlanStatus.Running && record.status !== PlanStatus.Holding) {
@@ -267,7 +265,7 @@
 	return { ok: false, code, message };
 }
 
-function dropOldest(map: Map<string, unknown>, limit: number): void {
+function evictOldest(map: Map<string, unknown>, limit: number): void {
 	for (const key of map.keys()) {
 		if (map.size <= limit) {
 			return;
--- a/src/plugins/configuration/common/controlStateService.ts
+++ b/src/plugins/configuration/common/controlStateService.ts
@@ -2,15 +2,15 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Access to the control part of the replicated state, for the other features of a control instance. */
+/** Service that gives access to the control part of the replicated state. */
 
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { ControlState } from './controlState.js';
 
-/** The control state of this replica. */
+/** Holds the control state of this replica. */
 export interface IControlStateService {
 	readonly state: ControlState;
 }
 
-/** Identifier of the control state. */
+/** Service identifier of the control state. */
 export const IControlStateService = createServiceIdentifier<IControlStateService>('controlStateService');
--- a/src/plugins/configuration/common/entryConfiguration.ts
+++ b/src/plugins/configuration/common/entryConfiguration.ts
@@ -2,44 +2,43 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the other features of an entry instance see of the configuration. */
+/** Service that gives access to the configuration of an entry instance. */
 
 import type { Event } from '../../../base/event.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 import type { Directory, EntryIdentity, EntryReport, RegionLoads } from '../../membership/common/entryReport.js';
 import type { ConfigurationTable } from './configuration.js';
 
-/** A feature's part of the instance's report. */
+/** Fields that a feature contributes to the report of its instance. */
 export type ReportPart = Partial<Omit<EntryReport, 'identity'>>;
 
-/** The configuration of this entry instance. */
+/** Configuration of this entry instance, received from a control instance. */
 export interface IEntryConfiguration {
-	/** Fires after a new revision was taken. */
+	/** Fires after a new revision was applied. */
 	readonly onDidChange: Event<ConfigurationTable>;
-	/** The newest configuration taken; undefined until there is one. */
+	/** The newest configuration; undefined until one was received. */
 	readonly table: ConfigurationTable | undefined;
-	/** The newest directory taken. */
+	/** The newest directory; undefined until one was received. */
 	readonly directory: Directory | undefined;
-	/** The newest loads of this region; they lag. */
+	/** The newest loads of this region; may be outdated. */
 	readonly loads: RegionLoads | undefined;
-	/** Whether the configuration may be behind what control has accepted before this instance started. */
+	/** Whether the configuration may be older than the one that was committed when this instance started. */
 	readonly isProvisional: boolean;
 	/**
-	 * Whether look-ups and requests may be answered by it: it is what control has accepted, or control could not be
-	 * reached for long enough that the data hall's own word must do.
+	 * Whether look-ups and requests may be answered from the configuration: it is not provisional, or a provisional one is
+	 * used because the minimum revision was not reached within a timeout after the start.
 	 */
 	readonly isUsable: boolean;
-	/** Milliseconds since control last said that it is current. */
+	/** Milliseconds since the control instances last had contact with a leader, as far as known here. */
 	controlContactAge(): number;
-	/** Who this instance is. */
 	readonly identity: EntryIdentity;
-	/** Adds a part of the report to control. */
+	/** Registers a callback whose fields are merged into each report to the control instance. */
 	addReportPart(part: () => ReportPart): void;
-	/** Sends a report now, because something changed that others wait for. */
+	/** Sends a report without waiting for the next interval. */
 	reportNow(): void;
-	/** Opens the session. */
+	/** Opens the session with a control instance. */
 	start(identity: EntryIdentity): Promise<void>;
 }
 
-/** Identifier of the configuration of an entry instance. */
+/** Service identifier of the entry configuration. */
 export const IEntryConfiguration = createServiceIdentifier<IEntryConfiguration>('entryConfiguration');
--- a/src/plugins/configuration/common/intents.ts
+++ b/src/plugins/configuration/common/intents.ts
@@ -2,11 +2,11 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What operators ask for, and the plan they get as an answer. */
+/** Intents of operators, and the plans that are made for them. */
 
-import type { DrainScope, GroupConfiguration, LeavingItem, PlacementRange, Revision } from './configuration.js';
+import type { DrainScope, GroupConfiguration, DrainedItem, PlacementRange, Revision } from './configuration.js';
 
-/** Sets a group's weight against the others. */
+/** Sets the weight of a group relative to the other groups. */
 export interface ShareIntent {
 	readonly kind: 'share';
 	readonly group: string;
@@ -14,11 +14,11 @@
 	readonly share: number;
 }
 
-/** Caps how much of a group's traffic may move within a window. */
+/** Limits the part of a group's clients that may move within a window. */
 export interface CapIntent {
 	readonly kind: 'cap';
 	readonly group: string;
-	/** Thousandths of the group's clients, 1 to 1000. */
+	/** Maximum part of the group's clients in thousandths, 1 to 1000. */
 	readonly permille: number;
 	readonly windowMs: number;
 }
@@ -28,13 +28,13 @@
 	readonly kind: 'prefer';
 	readonly group: string;
 	readonly region: string;
-	/** How much of them, in thousandths; 1000 by default. */
+	/** Part of the clients to move, in thousandths; 1000 by default. */
 	readonly permille?: number;
-	/** The operator accepts that the loss of another region would then overload this one. */
+	/** Accept a plan after which the loss of a region would overload the others. */
 	readonly allowOverloadOnRegionLoss?: boolean;
 }
 
-/** Takes a target, an instance, a data hall or a region out of use. */
+/** Drains a target, an instance, a data hall or a region: it receives no new requests. */
 export interface DrainIntent {
 	readonly kind: 'drain';
 	readonly scope: DrainScope;
@@ -42,67 +42,68 @@
 	readonly allowOverloadOnRegionLoss?: boolean;
 }
 
-/** Brings back what was drained. */
+/** Reverts a drain. */
 export interface RestoreIntent {
 	readonly kind: 'restore';
 	readonly scope: DrainScope;
 	readonly name: string;
 }
 
-/** Any intent. */
+/** A change that an operator requests. */
 export type Intent = ShareIntent | CapIntent | PreferIntent | DrainIntent | RestoreIntent;
 
-/** Buckets of one group and home region that go to another region in one stage. */
+/** Buckets of one group and home region that are moved to another region in one stage. */
 export interface PlacementMove {
 	readonly group: string;
 	readonly home: string;
 	readonly ranges: readonly PlacementRange[];
 }
 
-/** One step of a plan; the next begins only when this one is in force everywhere. */
+/** One step of a plan; the next one begins only after every live entry instance has applied it. */
 export interface PlanStage {
-	/** The step in words. */
+	/** Description for operators. */
 	readonly move: string;
-	/** Where the traffic comes from, in words; regions joined by a comma. */
+	/** Source regions, comma-separated; the name of the item for a drain; `-` if there is none. */
 	readonly from: string;
+	/** Destination regions, comma-separated; `-` if there is none. */
 	readonly to: string;
-	/** The groups concerned, joined by a comma; `*` for all. */
+	/** Affected groups, comma-separated; `*` for all. */
 	readonly group: string;
-	/** Thousandths of the group's traffic that the stage moves. */
+	/** Maximum part of a group's clients that the stage moves, in thousandths. */
 	readonly share: number;
-	/** The cap that holds for it, in words. */
+	/** Description of the cap that applies to the stage. */
 	readonly pace: string;
-	/** Earliest start after the confirmation, in milliseconds. */
+	/** Earliest start after the confirmation in milliseconds. */
 	readonly at: number;
 	readonly moves: readonly PlacementMove[];
 	readonly groupChange?: GroupConfiguration;
-	readonly leaving?: { readonly items: readonly LeavingItem[]; readonly present: boolean };
+	readonly leaving?: { readonly items: readonly DrainedItem[]; readonly present: boolean };
 }
 
-/** Capacity of a region for one service, before and after a plan, in slots. */
+/** Capacity and use of a region for one service before and after a plan, in slots. */
 export interface HeadroomEntry {
 	readonly region: string;
 	readonly service: string;
 	readonly slots: number;
 	readonly usedNow: number;
 	readonly usedAfter: number;
-	/** Age of the measurement behind it, in milliseconds; absent when nothing was measured. */
+	/** Age of the oldest report used, in milliseconds; undefined if there was none. */
 	readonly measuredMsAgo?: number;
 }
 
-/** A group that yields when a region runs short after the plan. */
+/** A group that would lose slots because a region has insufficient capacity after the plan. */
 export interface YieldEntry {
 	readonly group: string;
 	readonly region: string;
 	readonly service: string;
-	/** Slots it would have to give up, at most. */
+	/** Maximum number of slots that the group would lose. */
 	readonly slots: number;
 }
 
-/** What would happen, in full. */
+/** A proposed sequence of configuration changes, with its expected effects. */
 export interface Plan {
 	readonly planId: string;
-	/** SHA-256 over the intent and the stages; a confirm must name it. */
+	/** SHA-256 of the intent and the stages; a confirmation must contain it. */
 	readonly digest: string;
 	readonly baseRevision: Revision;
 	readonly operator: string;
@@ -110,13 +111,13 @@
 	readonly stages: readonly PlanStage[];
 	readonly headroomAfter: readonly HeadroomEntry[];
 	readonly yields: readonly YieldEntry[];
-	/** What a person should know before confirming. */
+	/** Warnings to show to the operator before the confirmation. */
 	readonly warnings: readonly string[];
-	/** Parts of the configuration that it depends on; a change of one of them makes it outdated. */
+	/** Parts of the configuration that the plan depends on; a change of one of them makes the plan outdated. */
 	readonly touches: readonly string[];
 }
 
-/** Where a plan stands. */
+/** Progress of a plan. */
 export enum PlanStatus {
 	Proposed = 'proposed',
 	Running = 'running',
@@ -129,10 +130,10 @@
 export interface PlanRecord {
 	readonly plan: Plan;
 	readonly status: PlanStatus;
-	/** Stages begun so far. */
+	/** Number of stages begun so far. */
 	readonly stagesBegun: number;
-	/** Revision of the latest stage. */
+	/** Revision created by the latest stage; 0 if none was begun. */
 	readonly stageRevision: Revision;
-	/** Why it holds, when it does. */
+	/** Reason why the next stage may not begin, while the plan is on hold. */
 	readonly holdReason?: string;
 }
--- a/src/plugins/configuration/common/placementBuckets.ts
+++ b/src/plugins/configuration/common/placementBuckets.ts
@@ -2,11 +2,11 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Placement ranges spread out to one region a bucket, and back. */
+/** Converts placements between ranges and one region per bucket, and compares them. */
 
 import { BUCKET_COUNT, type Placement, type PlacementRange } from './configuration.js';
 
-/** The region of every bucket of a group's clients of one home region. */
+/** Returns the region of each bucket. */
 export function expandPlacement(placement: Placement): string[] {
 	const regions = new Array<string>(BUCKET_COUNT).fill(placement.home);
 	for (const range of placement.ranges) {
@@ -15,7 +15,7 @@
 	return regions;
 }
 
-/** The ranges that say the same as one region a bucket. */
+/** Converts one region per bucket to ranges. */
 export function compressPlacement(group: string, home: string, regions: readonly string[]): Placement {
 	const ranges: PlacementRange[] = [];
 	let from = 0;
@@ -31,30 +31,30 @@
 	return { group, home, ranges };
 }
 
-/** The region of one bucket. */
+/** Returns the region that a bucket is assigned to. */
 export function regionOfBucket(placement: Placement, bucket: number): string {
 	const range = placement.ranges.find(item => bucket >= item.from && bucket < item.to);
 	return range?.region ?? placement.home;
 }
 
-/** How many buckets differ between two placements of the same clients. */
+/** Returns the number of buckets that differ between two placements of the same clients. */
 export function countMoved(before: Placement, after: Placement): number {
-	const old = expandPlacement(before);
-	return expandPlacement(after).filter((region, bucket) => region !== old[bucket]).length;
+	const oldRegions = expandPlacement(before);
+	return expandPlacement(after).filter((region, bucket) => region !== oldRegions[bucket]).length;
 }
 
 /**
- * The placement on the way from `before` to `after` in which at most `limit` buckets have moved, lowest buckets first.
- * @param limit buckets, 0 or more
+ * Moves at most `limit` buckets of `before` to their region in `after`, lowest buckets first.
+ * @param limit maximum number of buckets to move, 0 or more
  */
 export function moveTowards(before: Placement, after: Placement, limit: number): Placement {
 	const regions = expandPlacement(before);
-	const wanted = expandPlacement(after);
-	let left = limit;
-	for (let bucket = 0; bucket < BUCKET_COUNT && left > 0; bucket++) {
-		if (regions[bucket] !== wanted[bucket]) {
-			regions[bucket] = wanted[bucket]!;
-			left--;
+	const desired = expandPlacement(after);
+	let remaining = limit;
+	for (let bucket = 0; bucket < BUCKET_COUNT && remaining > 0; bucket++) {
+		if (regions[bucket] !== desired[bucket]) {
+			regions[bucket] = desired[bucket]!;
+			remaining--;
 		}
 	}
 	return compressPlacement(before.group, before.home, regions);
--- a/src/plugins/configuration/configuration.plugin.ts
+++ b/src/plugins/configuration/configuration.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the configuration: its replicated state, its publisher and its subscriber. */
+/** Registers the replicated control state, the publisher of control instances and the receiver of entry instances. */
 
 import { ContributionPhase, pluginRegistry, ProcessKind } from '../../kernel/common/pluginRegistry.js';
 import { IControlStateService } from './common/controlStateService.js';
--- a/src/plugins/configuration/node/configurationPublisher.ts
+++ b/src/plugins/configuration/node/configurationPublisher.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Pushes every revision to the entry instances that have a session with this control instance. */
+/** Sends configuration, directory and loads to the entry instances that have a session with this control instance. */
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -25,11 +25,12 @@
 } from '../common/configurationSession.js';
 import { IControlStateService } from '../common/controlStateService.js';
 
-const HEARTBEAT_MS = 300;
-/** Loads of the region are sent no more often than this. */
+/** Updates are sent at every change, and at this interval as a heartbeat. */
+const UPDATE_INTERVAL_MS = 300;
+/** Minimum interval between updates of the loads. */
 const LOADS_INTERVAL_MS = 500;
 
-/** One session and what its instance was sent. */
+/** A session, with the data last sent to its entry instance. */
 interface Session {
 	readonly stream: ServerStream<SessionReport, SessionUpdate>;
 	revision: Revision;
@@ -40,10 +41,14 @@
 	isOpen: boolean;
 }
 
-/** Publisher of a control instance. */
+/** Serves the sessions of entry instances with this control instance. */
 export class ConfigurationPublisher extends Disposable {
 	private readonly _sessions = new Set<Session>();
-	private _lastDelta?: { readonly before: Directory; readonly after: Directory; readonly delta: DirectoryDelta };
+	private _cachedDirectoryDelta?: {
+		readonly before: Directory;
+		readonly after: Directory;
+		readonly delta: DirectoryDelta;
+	};
 
 	constructor(
 		@IPeerWire wire: IPeerWire,
@@ -54,9 +59,9 @@
 		super();
 		wire.handleStream(sessionMethod, stream => this._onSession(stream));
 		wire.handleUnary(revisionMethod, async () => this._revision());
-		this._register(this._control.state.onDidChange(() => this._pushAll()));
-		this._register(this._membership.onDidChangeDirectory(() => this._pushAll()));
-		const timer = setInterval(() => this._pushAll(), HEARTBEAT_MS);
+		this._register(this._control.state.onDidChange(() => this._sendUpdateToAll()));
+		this._register(this._membership.onDidChangeDirectory(() => this._sendUpdateToAll()));
+		const timer = setInterval(() => this._sendUpdateToAll(), UPDATE_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
@@ -73,7 +78,7 @@
 				session.isOpen = true;
 				session.revision = message.revision;
 				session.region = message.report.identity.region;
-				this._push(session);
+				this._sendUpdate(session);
 			}
 		});
 		const close = (): void => {
@@ -88,11 +93,11 @@
 		stream.on('cancelled', close);
 	}
 
-	private _pushAll(): void {
-		this._sessions.forEach(session => session.isOpen && this._push(session));
+	private _sendUpdateToAll(): void {
+		this._sessions.forEach(session => session.isOpen && this._sendUpdate(session));
 	}
 
-	private _push(session: Session): void {
+	private _sendUpdate(session: Session): void {
 		if (session.stream.writableNeedDrain) {
 			return;
 		}
@@ -101,30 +106,30 @@
 		session.stream.write({
 			leaderContactAgeMs: Math.min(this._membership.leaderContactAge(), Number.MAX_SAFE_INTEGER),
 			revision,
-			...this._missing(session.revision),
-			...this._directoryNews(session, directory),
-			loads: this._loadsNews(session)
+			...this._configurationUpdate(session.revision),
+			...this._directoryUpdate(session, directory),
+			loads: this._loadsUpdate(session)
 		});
 		session.revision = Math.max(session.revision, revision);
 		session.directory = directory;
 	}
 
-	private _directoryNews(session: Session, directory: Directory | undefined): Partial<SessionUpdate> {
+	private _directoryUpdate(session: Session, directory: Directory | undefined): Partial<SessionUpdate> {
 		if (!directory || directory === session.directory) {
 			return {};
 		}
-		return session.directory ? { directoryDelta: this._delta(session.directory, directory) } : { directory };
+		return session.directory ? { directoryDelta: this._directoryDelta(session.directory, directory) } : { directory };
 	}
 
-	/** Most sessions have the same directory, so the last delta made serves nearly all of them. */
-	private _delta(before: Directory, after: Directory): DirectoryDelta {
-		if (this._lastDelta?.before !== before || this._lastDelta.after !== after) {
-			this._lastDelta = { before, after, delta: diffDirectories(before, after) };
+	/** Computes the delta of two directories; the last one is cached, as most sessions are at the same version. */
+	private _directoryDelta(before: Directory, after: Directory): DirectoryDelta {
+		if (this._cachedDirectoryDelta?.before !== before || this._cachedDirectoryDelta.after !== after) {
+			this._cachedDirectoryDelta = { before, after, delta: diffDirectories(before, after) };
 		}
-		return this._lastDelta.delta;
+		return this._cachedDirectoryDelta.delta;
 	}
 
-	private _loadsNews(session: Session): RegionLoads | undefined {
+	private _loadsUpdate(session: Session): RegionLoads | undefined {
 		const now = systemClock.now();
 		const loads = this._membership.loads.find(item => item.region === session.region);
 		if (!loads || loads === session.loads || now - session.loadsSentAt < LOADS_INTERVAL_MS) {
@@ -135,12 +140,12 @@
 		return loads;
 	}
 
-	private _missing(has: Revision): Partial<SessionUpdate> {
+	private _configurationUpdate(sentRevision: Revision): Partial<SessionUpdate> {
 		const { state } = this._control;
-		if (has >= state.configuration.revision) {
+		if (sentRevision >= state.configuration.revision) {
 			return {};
 		}
-		const deltas = has === 0 ? undefined : state.deltasAfter(has);
+		const deltas = sentRevision === 0 ? undefined : state.deltasAfter(sentRevision);
 		return deltas ? { deltas } : { snapshot: state.configuration.snapshot() };
 	}
 }
--- a/src/plugins/configuration/node/controlStateService.ts
+++ b/src/plugins/configuration/node/controlStateService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Adds the control state to the replicated log and puts the groups of the settings into it at the first start. */
+/** Registers the control state with the replicated log, and initializes it with the groups of the settings. */
 
 import { Disposable } from '../../../base/disposable.js';
 import { ProcessKind } from '../../../kernel/common/pluginRegistry.js';
@@ -19,16 +19,16 @@
 	name: 'group',
 	named: true,
 	kinds: [ProcessKind.Control],
-	description: 'Groups at the first start of a system; later changes are made by intents.',
+	description: 'Initial groups, read at the first start of a system; later changes are made by intents.',
 	keys: {
 		share: {
 			schema: integerSchema(1, 1000),
-			description: 'Weight against the other groups, 1 to 1000.',
+			description: 'Weight relative to the other groups, 1 to 1000.',
 			default: '100'
 		},
 		capPermille: {
 			schema: integerSchema(1, 1000),
-			description: 'Most of its clients that may move within a window, in thousandths, 1 to 1000.',
+			description: 'Maximum part of its clients that may move within a window, in thousandths, 1 to 1000.',
 			default: '100'
 		},
 		capWindowMs: {
@@ -39,7 +39,7 @@
 	}
 });
 
-/** The control state of this replica. */
+/** Control state of this replica; the first leader initializes it. */
 export class ControlStateService extends Disposable implements IControlStateService {
 	readonly state = new ControlState();
 
@@ -63,7 +63,7 @@
 		}
 		const body: InitializeCommand = { type: 'initialize', groups };
 		this._agreement.propose({ part: CONTROL_PART, body }).catch((error: Error) => {
-			this._log.warn('groups not initialized', { task: 'configuration', error: error.message });
+			this._log.warn('cannot initialize groups', { task: 'configuration', error: error.message });
 		});
 	}
 }
--- a/src/plugins/configuration/node/entryConfigurationTask.ts
+++ b/src/plugins/configuration/node/entryConfigurationTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Keeps a session with one control instance, takes what it pushes and reports back. */
+/** Keeps a session with one control instance: applies its updates and sends it reports. */
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -32,15 +32,15 @@
 import type { IEntryConfiguration, ReportPart } from '../common/entryConfiguration.js';
 
 const REPORT_INTERVAL_MS = 400;
-const CHECK_INTERVAL_MS = 100;
-/** Without a push for this long the session is given up. */
-const SILENCE_LIMIT_MS = 1200;
-/** A control instance that did not hear from a leader for this long is left for another. */
-const STALE_LIMIT_MS = 2000;
+const SESSION_CHECK_INTERVAL_MS = 100;
+/** The session is closed after this time without an update. */
+const UPDATE_TIMEOUT_MS = 1200;
+/** The session is moved to another control instance if this one had no contact with a leader for this time. */
+const LEADER_CONTACT_TIMEOUT_MS = 2000;
 const CALL_TIMEOUT_MS = 1000;
-const FLOOR_RETRY_MS = 300;
-/** After a start, how long control's word is waited for before the data hall's own must do. */
-const PROVISIONAL_AFTER_MS = 3000;
+const MIN_REVISION_RETRY_MS = 300;
+/** Time after the start during which a provisional configuration is not used. */
+const PROVISIONAL_USE_DELAY_MS = 3000;
 
 /** Section `[sibling.NAME]`. */
 export interface SiblingSettings {
@@ -55,7 +55,7 @@
 	keys: { address: { schema: addressSchema, description: 'IPv4 address and port of its peer listener.' } }
 });
 
-/** Configuration of one entry instance. */
+/** Receives the configuration of this entry instance from a control instance. */
 export class EntryConfigurationTask extends Disposable implements IEntryConfiguration {
 	private readonly _onDidChange = this._register(new Emitter<ConfigurationTable>());
 	readonly onDidChange = this._onDidChange.event;
@@ -68,13 +68,13 @@
 	private _directory: Directory | undefined;
 	private _sessionDirectory: Directory | undefined;
 	private _loads: RegionLoads | undefined;
-	private _floor: Revision | undefined;
+	private _minRevision: Revision | undefined;
 	private _stream: ClientStream<SessionReport, SessionUpdate> | undefined;
-	private _nextControl = 0;
-	private _pushedAt: Millis = 0;
-	private _openedAt: Millis = 0;
+	private _nextControlIndex = 0;
+	private _lastUpdateAt: Millis = 0;
+	private _sessionOpenedAt: Millis = 0;
 	private _startedAt: Millis = 0;
-	private _currentAt = Number.NEGATIVE_INFINITY;
+	private _lastLeaderContactAt = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
@@ -84,9 +84,9 @@
 		super();
 		const { hall } = settings.section<InstanceSettings>('instance');
 		const controls = [...settings.namedSections<ControlPeerSettings>('control').values()];
-		const own = controls.filter(control => control.hall === hall);
-		const others = controls.filter(control => control.hall !== hall);
-		this._controls = [...own, ...shuffle(others)];
+		const sameHall = controls.filter(control => control.hall === hall);
+		const otherHalls = controls.filter(control => control.hall !== hall);
+		this._controls = [...sameHall, ...shuffle(otherHalls)];
 		this._siblings = settings.namedSections<SiblingSettings>('sibling');
 		this._wire.handleUnary(hallSnapshotMethod, async () => this._hallSnapshot());
 	}
@@ -104,14 +104,14 @@
 	}
 
 	get isProvisional(): boolean {
-		return this._floor === undefined || (this._table?.revision ?? 0) < this._floor;
+		return this._minRevision === undefined || (this._table?.revision ?? 0) < this._minRevision;
 	}
 
 	get isUsable(): boolean {
 		if (!this._table) {
 			return false;
 		}
-		return !this.isProvisional || systemClock.now() - this._startedAt > PROVISIONAL_AFTER_MS;
+		return !this.isProvisional || systemClock.now() - this._startedAt > PROVISIONAL_USE_DELAY_MS;
 	}
 
 	get identity(): EntryIdentity {
@@ -119,7 +119,7 @@
 	}
 
 	controlContactAge(): number {
-		return systemClock.now() - this._currentAt;
+		return systemClock.now() - this._lastLeaderContactAt;
 	}
 
 	addReportPart(part: () => ReportPart): void {
@@ -128,7 +128,7 @@
 
 	reportNow(): void {
 		if (this._stream && !this._stream.writableNeedDrain) {
-			this._stream.write({ revision: this._table?.revision ?? 0, report: this._report() });
+			this._stream.write({ revision: this._table?.revision ?? 0, report: this._buildReport() });
 		}
 	}
 
@@ -137,14 +137,14 @@
 		this._startedAt = systemClock.now();
 		this._openSession();
 		const reports = setInterval(() => this.reportNow(), REPORT_INTERVAL_MS);
-		const checks = setInterval(() => this._checkSession(), CHECK_INTERVAL_MS);
+		const checks = setInterval(() => this._checkSession(), SESSION_CHECK_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(reports)));
 		this._register(toDisposable(() => clearInterval(checks)));
 		this._register(toDisposable(() => this._closeSession()));
-		void this._findFloor();
+		void this._fetchMinRevision();
 	}
 
-	private _report(): EntryReport {
+	private _buildReport(): EntryReport {
 		const parts = this._reportParts.map(part => part());
 		const base: EntryReport = {
 			identity: this._identity,
@@ -160,13 +160,13 @@
 	}
 
 	private _openSession(): void {
-		const control = this._controls[this._nextControl % this._controls.length]!;
-		this._nextControl++;
+		const control = this._controls[this._nextControlIndex % this._controls.length]!;
+		this._nextControlIndex++;
 		this._sessionDirectory = undefined;
 		const stream = this._wire.openStream(control.address, sessionMethod);
 		this._stream = stream;
-		this._openedAt = systemClock.now();
-		this._pushedAt = this._openedAt;
+		this._sessionOpenedAt = systemClock.now();
+		this._lastUpdateAt = this._sessionOpenedAt;
 		stream.on('data', (update: SessionUpdate) => stream === this._stream && this._onUpdate(update));
 		stream.on('error', () => this._onStreamEnd(stream));
 		stream.on('end', () => this._onStreamEnd(stream));
@@ -187,9 +187,9 @@
 
 	private _checkSession(): void {
 		const now = systemClock.now();
-		const isSilent = now - this._pushedAt > SILENCE_LIMIT_MS;
-		const isStale = now - Math.max(this._currentAt, this._openedAt) > STALE_LIMIT_MS;
-		if (this._stream && !isSilent && !isStale) {
+		const isUpdateOverdue = now - this._lastUpdateAt > UPDATE_TIMEOUT_MS;
+		const isStale = now - Math.max(this._lastLeaderContactAt, this._sessionOpenedAt) > LEADER_CONTACT_TIMEOUT_MS;
+		if (this._stream && !isUpdateOverdue && !isStale) {
 			return;
 		}
 		this._closeSession();
@@ -197,22 +197,22 @@
 	}
 
 	private _onUpdate(update: SessionUpdate): void {
-		this._pushedAt = systemClock.now();
-		if (update.leaderContactAgeMs < STALE_LIMIT_MS) {
-			this._currentAt = Math.max(this._currentAt, this._pushedAt - update.leaderContactAgeMs);
+		this._lastUpdateAt = systemClock.now();
+		if (update.leaderContactAgeMs < LEADER_CONTACT_TIMEOUT_MS) {
+			this._lastLeaderContactAt = Math.max(this._lastLeaderContactAt, this._lastUpdateAt - update.leaderContactAgeMs);
 		}
 		this._loads = update.loads ?? this._loads;
-		this._takeDirectory(update);
+		this._applyDirectory(update);
 		if (update.snapshot) {
-			this._takeSnapshot(update.snapshot);
+			this._applySnapshot(update.snapshot);
 		}
 		if (update.deltas) {
-			this._takeDeltas(update);
+			this._applyDeltas(update);
 		}
 	}
 
-	/** A delta fits what the same session sent before; that may be older than what is kept from another session. */
-	private _takeDirectory(update: SessionUpdate): void {
+	/** Applies deltas to the directory of this session, which may be older than the one received in an earlier session. */
+	private _applyDirectory(update: SessionUpdate): void {
 		if (update.directory) {
 			this._sessionDirectory = update.directory;
 		} else if (update.directoryDelta && this._sessionDirectory) {
@@ -223,30 +223,30 @@
 		}
 	}
 
-	private _takeSnapshot(snapshot: ConfigurationSnapshot): void {
+	private _applySnapshot(snapshot: ConfigurationSnapshot): void {
 		if (snapshot.revision <= (this._table?.revision ?? 0)) {
 			return;
 		}
 		this._table = new ConfigurationTable(snapshot);
-		this._announce();
+		this._publishChange();
 	}
 
-	private _takeDeltas(update: SessionUpdate): void {
+	private _applyDeltas(update: SessionUpdate): void {
 		const table = this._table;
-		const fresh = (update.deltas ?? []).filter(delta => delta.revision > (table?.revision ?? 0));
-		if (fresh.length === 0) {
+		const newDeltas = (update.deltas ?? []).filter(delta => delta.revision > (table?.revision ?? 0));
+		if (newDeltas.length === 0) {
 			return;
 		}
-		if (!table || fresh[0]!.revision !== table.revision + 1) {
+		if (!table || newDeltas[0]!.revision !== table.revision + 1) {
 			this._closeSession();
 			return;
 		}
-		fresh.forEach(delta => table.apply(delta));
-		this._announce();
+		newDeltas.forEach(delta => table.apply(delta));
+		this._publishChange();
 	}
 
-	private _announce(): void {
-		this._log.debug('configuration taken', { task: 'configuration', revision: this._table!.revision });
+	private _publishChange(): void {
+		this._log.debug('configuration updated', { task: 'configuration', revision: this._table!.revision });
 		this._onDidChange.fire(this._table!);
 		this.reportNow();
 	}
@@ -258,9 +258,12 @@
 		return this._table.snapshot();
 	}
 
-	/** After a start: the revision a leader vouches for must not be gone below; the data hall helps when none is reached. */
-	private async _findFloor(): Promise<void> {
-		while (this._floor === undefined) {
+	/**
+	 * Gets the minimum revision from a leader with a lease, so that a restarted instance does not use an older
+	 * configuration. While no leader answers, snapshots of other instances of the data hall are applied.
+	 */
+	private async _fetchMinRevision(): Promise<void> {
+		while (this._minRevision === undefined) {
 			const request = { instance: this._identity.instance };
 			const calls = this._controls.map(control =>
 				this._wire.call(control.address, revisionMethod, request, CALL_TIMEOUT_MS)
@@ -268,30 +271,30 @@
 			const answers = await Promise.allSettled(calls);
 			for (const answer of answers) {
 				if (answer.status === 'fulfilled' && answer.value.isAuthoritative) {
-					this._floor = Math.max(this._floor ?? 0, answer.value.revision);
+					this._minRevision = Math.max(this._minRevision ?? 0, answer.value.revision);
 				}
 			}
-			if (this._floor === undefined) {
-				await this._askHall();
-				await new Promise(resolve => setTimeout(resolve, FLOOR_RETRY_MS));
+			if (this._minRevision === undefined) {
+				await this._fetchHallSnapshots();
+				await new Promise(resolve => setTimeout(resolve, MIN_REVISION_RETRY_MS));
 			}
 		}
 	}
 
-	private async _askHall(): Promise<void> {
+	private async _fetchHallSnapshots(): Promise<void> {
 		const request = { instance: this._identity.instance };
 		const calls = [...this._siblings.values()].map(sibling =>
 			this._wire.call(sibling.address, hallSnapshotMethod, request, CALL_TIMEOUT_MS)
 		);
 		for (const answer of await Promise.allSettled(calls)) {
 			if (answer.status === 'fulfilled') {
-				this._takeSnapshot(answer.value);
+				this._applySnapshot(answer.value);
 			}
 		}
 	}
 }
 
-/** Spreads the instances over the control instances. */
+/** Returns the items in random order, to spread entry instances over the control instances. */
 function shuffle<T>(items: readonly T[]): T[] {
 	return items
 		.map(item => ({ item, order: Math.random() }))
--- a/src/plugins/planning/common/headroom.ts
+++ b/src/plugins/planning/common/headroom.ts
@@ -2,29 +2,29 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What a plan does to the regions' capacity, and who yields when one of them runs short. Pure. */
+/** Forecasts the load of the regions after a plan, and the groups that lose slots where capacity is insufficient. */
 
 import { BUCKET_COUNT, type ConfigurationTable } from '../../configuration/common/configuration.js';
 import type { HeadroomEntry, PlanStage, YieldEntry } from '../../configuration/common/intents.js';
 import type { Measurements, RegionLoad } from './measurements.js';
 
-/** What a plan does to the regions. */
+/** Expected load of the regions after a plan. */
 export interface HeadroomForecast {
 	readonly headroomAfter: readonly HeadroomEntry[];
 	readonly yields: readonly YieldEntry[];
-	/** Regions that the plan itself would overload. */
+	/** Regions and services that the plan would overload. */
 	readonly overloaded: readonly HeadroomEntry[];
-	/** Losses of one region that would overload another after the plan, in words. */
+	/** Messages about regions whose loss would overload the others after the plan. */
 	readonly overloadedOnLoss: readonly string[];
 }
 
-/** Used slots of one region, service and group after the plan. */
+/** Measured load of one region and service, and the slots that each group is expected to use. */
 interface ForecastLoad {
 	readonly load: RegionLoad;
 	readonly groups: { readonly group: string; used: number }[];
 }
 
-/** Forecasts the load after all stages, from the load measured now. */
+/** Forecasts the load after all stages from the current load. */
 export function forecastHeadroom(
 	stages: readonly PlanStage[],
 	measurements: Measurements,
@@ -37,20 +37,20 @@
 	const headroomAfter = forecasts.map(toHeadroom);
 	return {
 		headroomAfter,
-		yields: forecasts.flatMap(forecast => yieldsOf(forecast, configuration)),
+		yields: forecasts.flatMap(forecast => findYields(forecast, configuration)),
 		overloaded: headroomAfter.filter(entry => entry.usedAfter > entry.slots && entry.usedAfter > entry.usedNow),
-		overloadedOnLoss: lossesThatOverload(headroomAfter)
+		overloadedOnLoss: findOverloadingLosses(headroomAfter)
 	};
 }
 
 function moveDemand(stage: PlanStage, forecasts: ForecastLoad[], measurements: Measurements): void {
 	for (const move of stage.moves) {
 		for (const range of move.ranges) {
-			const part = (range.to - range.from) / BUCKET_COUNT;
+			const fraction = (range.to - range.from) / BUCKET_COUNT;
 			for (const source of measurements.loads.filter(load => load.region === move.home)) {
 				const demand = source.groups.find(group => group.group === move.group)?.used ?? 0;
-				addDemand(forecasts, move.home, source.service, move.group, -demand * part);
-				addDemand(forecasts, range.region, source.service, move.group, demand * part);
+				addDemand(forecasts, move.home, source.service, move.group, -demand * fraction);
+				addDemand(forecasts, range.region, source.service, move.group, demand * fraction);
 			}
 		}
 	}
@@ -79,14 +79,14 @@
 		region: load.region,
 		service: load.service,
 		slots: load.slots,
-		usedNow: round(load.used),
-		usedAfter: round(totalUsed(forecast)),
+		usedNow: roundToHundredths(load.used),
+		usedAfter: roundToHundredths(totalUsed(forecast)),
 		measuredMsAgo: Math.round(load.measuredMsAgo)
 	};
 }
 
-/** Groups above their share of a region that runs short, with what they would give up. */
-function yieldsOf(forecast: ForecastLoad, configuration: ConfigurationTable): YieldEntry[] {
+/** Returns the groups that exceed their fair share of an overloaded region, with the slots in excess. */
+function findYields(forecast: ForecastLoad, configuration: ConfigurationTable): YieldEntry[] {
 	const { load } = forecast;
 	if (totalUsed(forecast) <= load.slots) {
 		return [];
@@ -94,28 +94,28 @@
 	const weightOf = (name: string): number => configuration.group(name)?.share ?? 1;
 	const totalWeight = forecast.groups.reduce((sum, group) => sum + weightOf(group.group), 0);
 	return forecast.groups.flatMap(group => {
-		const due = (load.slots * weightOf(group.group)) / totalWeight;
-		const excess = round(group.used - due);
+		const fairShare = (load.slots * weightOf(group.group)) / totalWeight;
+		const excess = roundToHundredths(group.used - fairShare);
 		return excess > 0 ? [{ group: group.group, region: load.region, service: load.service, slots: excess }] : [];
 	});
 }
 
-/** Spreads each region's load over the others by their slots, and names the pairs that do not fit. */
-function lossesThatOverload(headroom: readonly HeadroomEntry[]): string[] {
+/** Describes each region whose load exceeds the total free slots of the other regions. */
+function findOverloadingLosses(headroom: readonly HeadroomEntry[]): string[] {
 	const found: string[] = [];
 	for (const lost of headroom) {
 		const others = headroom.filter(entry => entry.service === lost.service && entry.region !== lost.region);
-		const free = others.reduce((sum, entry) => sum + Math.max(0, entry.slots - entry.usedAfter), 0);
-		if (others.length > 0 && lost.usedAfter > free) {
+		const freeSlots = others.reduce((sum, entry) => sum + Math.max(0, entry.slots - entry.usedAfter), 0);
+		if (others.length > 0 && lost.usedAfter > freeSlots) {
 			const names = others.map(entry => entry.region).join(', ');
 			found.push(
-				`loss of ${lost.region} would send ${lost.usedAfter} slots of ${lost.service} to ${names}, which have ${round(free)} free`
+				`loss of ${lost.region} would send ${lost.usedAfter} slots of ${lost.service} to ${names}, which have ${roundToHundredths(freeSlots)} free`
 			);
 		}
 	}
 	return found;
 }
 
-function round(value: number): number {
+function roundToHundredths(value: number): number {
 	return Math.round(value * 100) / 100;
 }
--- a/src/plugins/planning/common/intentSchema.ts
+++ b/src/plugins/planning/common/intentSchema.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Checks what operators send; every fault names the field and what is allowed. */
+/** Schemas of operators' requests; the messages state the allowed values. */
 
 import { z } from 'zod';
 import { nameSchema } from '../../../kernel/common/settingsRegistry.js';
@@ -26,7 +26,7 @@
 	.min(MIN_WINDOW_MS, 'milliseconds from 100 to 86400000')
 	.max(MAX_WINDOW_MS, 'milliseconds from 100 to 86400000');
 
-/** Any intent. */
+/** Schema of an intent. */
 export const intentSchema = z.discriminatedUnion(
 	'kind',
 	[
@@ -77,7 +77,7 @@
 	digest: z.string().regex(/^[0-9a-f]{64}$/, 'the digest of the plan, 64 hexadecimal digits')
 });
 
-/** Body of `POST /v1/intents`, checked. */
+/** Validated body of `POST /v1/intents`. */
 export type IntentRequest = z.infer<typeof intentRequestSchema>;
-/** Body of a confirm, checked. */
+/** Validated body of `POST /v1/plans/<id>/confirm`. */
 export type ConfirmRequest = z.infer<typeof confirmRequestSchema>;
--- a/src/plugins/planning/common/measurements.ts
+++ b/src/plugins/planning/common/measurements.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the planner knows of the load: sums a region over the reports of its entry instances. */
+/** Aggregates the reports of entry instances into the load of each region. */
 
 import type { KnownEntry } from '../../membership/common/entryRegistry.js';
 import type { Millis } from '../../../base/clock.js';
@@ -13,51 +13,50 @@
 	readonly service: string;
 	slots: number;
 	used: number;
-	/** Age of the oldest report in it. */
+	/** Age of the oldest report included. */
 	measuredMsAgo: Millis;
-	/** Slots used by each group. */
 	readonly groups: GroupLoad[];
 }
 
-/** A group's part of a `RegionLoad`. */
+/** Slots of a `RegionLoad` that one group uses. */
 export interface GroupLoad {
 	readonly group: string;
 	used: number;
 }
 
-/** The load of all regions. */
+/** The load of all regions, by region and service. */
 export class Measurements {
 	readonly loads: RegionLoad[] = [];
 
-	/** Sums up reports; `now` on the clock of their `heardAt`. */
+	/** @param now current time, on the same clock as the `lastReportAt` of the entries */
 	constructor(entries: readonly KnownEntry[], now: Millis) {
 		for (const { report, heardAt } of entries) {
 			const { region } = report.identity;
 			for (const capacity of report.capacity) {
-				const load = this._loadOf(region, capacity.service);
+				const load = this._getOrAddLoad(region, capacity.service);
 				load.slots += capacity.slots;
 				load.measuredMsAgo = Math.max(load.measuredMsAgo, now - heardAt);
 			}
 			for (const demand of report.demand) {
-				const load = this._loadOf(region, demand.service);
+				const load = this._getOrAddLoad(region, demand.service);
 				load.used += demand.used;
-				groupLoadOf(load, demand.group).used += demand.used;
+				getOrAddGroupLoad(load, demand.group).used += demand.used;
 			}
 		}
 	}
 
-	/** All regions that reported, sorted. */
+	/** All regions with a reported load, sorted by name. */
 	get regions(): string[] {
 		return [...new Set(this.loads.map(load => load.region))].sort();
 	}
 
-	/** Free slots of a region over all services. */
-	spareOf(region: string): number {
+	/** Returns the free slots of a region, summed over all services. */
+	freeSlots(region: string): number {
 		const loads = this.loads.filter(load => load.region === region);
 		return loads.reduce((sum, load) => sum + Math.max(0, load.slots - load.used), 0);
 	}
 
-	private _loadOf(region: string, service: string): RegionLoad {
+	private _getOrAddLoad(region: string, service: string): RegionLoad {
 		let load = this.loads.find(item => item.region === region && item.service === service);
 		if (!load) {
 			load = { region, service, slots: 0, used: 0, measuredMsAgo: 0, groups: [] };
@@ -67,7 +66,7 @@
 	}
 }
 
-function groupLoadOf(load: RegionLoad, group: string): GroupLoad {
+function getOrAddGroupLoad(load: RegionLoad, group: string): GroupLoad {
 	let found = load.groups.find(item => item.group === group);
 	if (!found) {
 		found = { group, used: 0 };
--- a/src/plugins/planning/common/planner.ts
+++ b/src/plugins/planning/common/planner.ts
@@ -2,21 +2,21 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Turns an intent into a plan: what moves, in which stages, and what headroom is left. Pure. */
+/** Drafts the stages that carry out an intent. */
 
 import {
 	BUCKET_COUNT,
 	type ConfigurationTable,
 	DrainScope,
 	type GroupConfiguration,
-	type LeavingItem,
+	type DrainedItem,
 	type PlacementRange
 } from '../../configuration/common/configuration.js';
 import type { Intent, PlacementMove, PlanStage } from '../../configuration/common/intents.js';
 import { compressPlacement, expandPlacement } from '../../configuration/common/placementBuckets.js';
 import type { Measurements } from './measurements.js';
 
-/** Why there can be no plan for an intent. */
+/** An intent for which no plan can be made. */
 export class PlanningError extends Error {
 	constructor(
 		readonly code: string,
@@ -29,34 +29,36 @@
 	}
 }
 
-/** What the planner works from. */
+/** State of the system for which a plan is made. */
 export interface PlanningInput {
 	readonly configuration: ConfigurationTable;
 	readonly measurements: Measurements;
 	/** Regions that have entry instances. */
 	readonly regions: readonly string[];
-	/** How long a look-up may be cached by callers, in milliseconds. */
+	/** Maximum time for which callers may cache a look-up, in milliseconds. */
 	readonly lookupTtlMs: number;
 }
 
-/** Stages of a plan and the parts of the configuration it depends on. */
+/** Stages of a plan, and the parts of the configuration that it depends on. */
 export interface PlanDraft {
 	readonly stages: readonly PlanStage[];
 	readonly touches: readonly string[];
 }
 
-/** Buckets that go from one region to another, for one group and home. */
-interface WantedMove {
+/** Current and desired region of each bucket, for one group and home region. */
+interface PlacementTransition {
 	readonly group: GroupConfiguration;
 	readonly home: string;
-	/** Wanted region of each bucket. */
-	readonly wanted: readonly string[];
+	readonly desired: readonly string[];
 	readonly current: readonly string[];
 }
 
 const ALL_GROUPS = '*';
 
-/** Drafts the stages for an intent. */
+/**
+ * Drafts the stages for an intent.
+ * @throws PlanningError if no plan can be made
+ */
 export function draftPlan(intent: Intent, input: PlanningInput): PlanDraft {
 	switch (intent.kind) {
 		case 'share': {
@@ -73,11 +75,11 @@
 		case 'drain':
 			return intent.scope === DrainScope.Region
 				? draftRegionDrain(intent.name, input)
-				: draftLeaving({ scope: intent.scope, name: intent.name }, true, input);
+				: draftDrainChange({ scope: intent.scope, name: intent.name }, true, input);
 		case 'restore':
 			return intent.scope === DrainScope.Region
 				? draftRegionRestore(intent.name, input)
-				: draftLeaving({ scope: intent.scope, name: intent.name }, false, input);
+				: draftDrainChange({ scope: intent.scope, name: intent.name }, false, input);
 	}
 }
 
@@ -93,7 +95,7 @@
 function requireRegion(input: PlanningInput, name: string, field: string): void {
 	if (!input.regions.includes(name)) {
 		const allowed = input.regions.join(', ');
-		throw new PlanningError('unknown-region', `no entry instance stands in region '${name}'`, field, allowed);
+		throw new PlanningError('unknown-region', `region '${name}' has no entry instances`, field, allowed);
 	}
 }
 
@@ -116,23 +118,23 @@
 	return { stages: [stage], touches: [`group:${group.name}`] };
 }
 
-function draftLeaving(item: LeavingItem, present: boolean, input: PlanningInput): PlanDraft {
+function draftDrainChange(item: DrainedItem, present: boolean, input: PlanningInput): PlanDraft {
 	if (input.configuration.isLeaving(item.scope, item.name) === present) {
-		const state = present ? 'drained already' : 'not drained';
+		const state = present ? 'already drained' : 'not drained';
 		throw new PlanningError('nothing-to-do', `${item.scope} '${item.name}' is ${state}`, 'intent.name');
 	}
-	const stage = leavingStage(item, present);
+	const stage = drainChangeStage(item, present);
 	return { stages: [stage], touches: [`${item.scope}:${item.name}`] };
 }
 
 function draftPrefer(group: GroupConfiguration, region: string, permille: number, input: PlanningInput): PlanDraft {
 	requireRegion(input, region, 'intent.region');
-	const moves = input.regions.map(home => {
+	const transitions = input.regions.map(home => {
 		const current = expandPlacement(input.configuration.placement(group.name, home));
-		const wanted = current.map((present, bucket) => (bucket < permille ? region : present));
-		return { group, home, current, wanted };
+		const desired = current.map((present, bucket) => (bucket < permille ? region : present));
+		return { group, home, current, desired };
 	});
-	return stagesFor(moves, input, []);
+	return buildStages(transitions, input, []);
 }
 
 function draftRegionDrain(region: string, input: PlanningInput): PlanDraft {
@@ -141,29 +143,29 @@
 		name => name !== region && !input.configuration.isLeaving(DrainScope.Region, name)
 	);
 	if (others.length === 0) {
-		throw new PlanningError('no-other-region', `no other region can take what '${region}' carries`, 'intent.name');
+		throw new PlanningError('no-other-region', `no other region can take the traffic of '${region}'`, 'intent.name');
 	}
-	const share = spareShare(others, input.measurements);
-	const moves = allClients(input).map(client => ({
-		...client,
-		wanted: client.current.map((present, bucket) => (present === region ? share(bucket) : present))
+	const regionForBucket = spreadByFreeSlots(others, input.measurements);
+	const transitions = currentPlacements(input).map(placement => ({
+		...placement,
+		desired: placement.current.map((present, bucket) => (present === region ? regionForBucket(bucket) : present))
 	}));
 	const item = { scope: DrainScope.Region, name: region };
-	return stagesFor(moves, input, [leavingStage(item, true)]);
+	return buildStages(transitions, input, [drainChangeStage(item, true)]);
 }
 
 function draftRegionRestore(region: string, input: PlanningInput): PlanDraft {
 	requireRegion(input, region, 'intent.name');
-	const moves = allClients(input).map(client => ({
-		...client,
-		wanted: client.current.map(present => (client.home === region ? region : present))
+	const transitions = currentPlacements(input).map(placement => ({
+		...placement,
+		desired: placement.current.map(present => (placement.home === region ? region : present))
 	}));
 	const item = { scope: DrainScope.Region, name: region };
-	const draft = stagesFor(moves, input, []);
-	return { stages: [leavingStage(item, false), ...draft.stages], touches: [...draft.touches, `region:${region}`] };
+	const draft = buildStages(transitions, input, []);
+	return { stages: [drainChangeStage(item, false), ...draft.stages], touches: [...draft.touches, `region:${region}`] };
 }
 
-function leavingStage(item: LeavingItem, present: boolean): PlanStage {
+function drainChangeStage(item: DrainedItem, present: boolean): PlanStage {
 	return {
 		move: present ? `${item.scope} ${item.name} takes no new work` : `${item.scope} ${item.name} takes work again`,
 		from: item.name,
@@ -177,7 +179,7 @@
 	};
 }
 
-function allClients(input: PlanningInput): Omit<WantedMove, 'wanted'>[] {
+function currentPlacements(input: PlanningInput): Omit<PlacementTransition, 'desired'>[] {
 	return input.configuration.groups.flatMap(group =>
 		input.regions.map(home => ({
 			group,
@@ -187,52 +189,56 @@
 	);
 }
 
-/** Spreads buckets over regions in proportion to their free slots; evenly when nothing was measured. */
-function spareShare(regions: readonly string[], measurements: Measurements): (bucket: number) => string {
-	const spares = regions.map(region => measurements.spareOf(region));
-	const total = spares.reduce((sum, spare) => sum + spare, 0);
-	const weights = spares.map(spare => (total > 0 ? spare / total : 1 / regions.length));
-	const order: string[] = [];
+/** Distributes buckets over regions in proportion to their free slots; evenly if there are none. */
+function spreadByFreeSlots(regions: readonly string[], measurements: Measurements): (bucket: number) => string {
+	const freeSlots = regions.map(region => measurements.freeSlots(region));
+	const total = freeSlots.reduce((sum, count) => sum + count, 0);
+	const weights = freeSlots.map(count => (total > 0 ? count / total : 1 / regions.length));
+	const regionOfBucket: string[] = [];
 	const credit = weights.map(() => 0);
 	for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
 		weights.forEach((weight, i) => (credit[i]! += weight));
 		const next = credit.indexOf(Math.max(...credit));
 		credit[next]! -= 1;
-		order.push(regions[next]!);
+		regionOfBucket.push(regions[next]!);
 	}
-	return bucket => order[bucket]!;
+	return bucket => regionOfBucket[bucket]!;
 }
 
-/** Cuts the moves into stages that each stay under the cap of every group concerned. */
-function stagesFor(moves: readonly WantedMove[], input: PlanningInput, last: readonly PlanStage[]): PlanDraft {
-	const concerned = [...new Set(moves.filter(hasMove).map(move => move.group))];
-	const queues = concerned.map(group =>
-		groupStages(
+/** Splits the transitions into stages within the caps of all moved groups, followed by the final stages. */
+function buildStages(
+	transitions: readonly PlacementTransition[],
+	input: PlanningInput,
+	finalStages: readonly PlanStage[]
+): PlanDraft {
+	const movedGroups = [...new Set(transitions.filter(hasMoves).map(transition => transition.group))];
+	const stagesByGroup = movedGroups.map(group =>
+		buildGroupStages(
 			group,
-			moves.filter(move => move.group === group)
+			transitions.filter(transition => transition.group === group)
 		)
 	);
-	const count = Math.max(0, ...queues.map(queue => queue.length));
-	const interval = Math.max(0, ...concerned.map(group => group.capWindowMs)) + input.lookupTtlMs;
+	const count = Math.max(0, ...stagesByGroup.map(groupStages => groupStages.length));
+	const interval = Math.max(0, ...movedGroups.map(group => group.capWindowMs)) + input.lookupTtlMs;
 	const stages: PlanStage[] = [];
 	for (let step = 0; step < count; step++) {
-		const parts = queues.flatMap(queue => (queue[step] ? [queue[step]!] : []));
+		const parts = stagesByGroup.flatMap(groupStages => (groupStages[step] ? [groupStages[step]!] : []));
 		stages.push(mergeStage(parts, step * interval));
 	}
-	const ending = last.map(stage => ({ ...stage, at: count * interval }));
-	if (stages.length + ending.length === 0) {
-		throw new PlanningError('nothing-to-do', 'everything is placed that way already', 'intent');
+	const timedFinalStages = finalStages.map(stage => ({ ...stage, at: count * interval }));
+	if (stages.length + timedFinalStages.length === 0) {
+		throw new PlanningError('nothing-to-do', 'the clients are already placed as requested', 'intent');
 	}
-	const touches = concerned.flatMap(group => [`group:${group.name}`, `placement:${group.name}`]);
-	const leaving = ending.flatMap(stage => stage.leaving!.items.map(item => `${item.scope}:${item.name}`));
-	return { stages: [...stages, ...ending], touches: [...touches, ...leaving] };
+	const touches = movedGroups.flatMap(group => [`group:${group.name}`, `placement:${group.name}`]);
+	const leaving = timedFinalStages.flatMap(stage => stage.leaving!.items.map(item => `${item.scope}:${item.name}`));
+	return { stages: [...stages, ...timedFinalStages], touches: [...touches, ...leaving] };
 }
 
-function hasMove(move: WantedMove): boolean {
-	return move.wanted.some((region, bucket) => region !== move.current[bucket]);
+function hasMoves(transition: PlacementTransition): boolean {
+	return transition.desired.some((region, bucket) => region !== transition.current[bucket]);
 }
 
-/** One group's part of a stage. */
+/** Part of a stage that concerns one group. */
 interface GroupStage {
 	readonly group: GroupConfiguration;
 	readonly moves: readonly PlacementMove[];
@@ -242,35 +248,38 @@
 }
 
 /**
- * A stage moves at most the cap's number of buckets of each home region, and so at most that part of the group's
- * clients, however they are spread over the home regions.
+ * Splits the transitions of a group into stages. Each stage moves at most `capPermille` buckets of every home region, so
+ * the cap holds for the whole group regardless of how its clients are distributed over the home regions.
  */
-function groupStages(group: GroupConfiguration, moves: readonly WantedMove[]): GroupStage[] {
-	const pending = moves.map(move => ({
-		move,
-		buckets: move.wanted.flatMap((region, bucket) => (region === move.current[bucket] ? [] : [bucket]))
+function buildGroupStages(group: GroupConfiguration, transitions: readonly PlacementTransition[]): GroupStage[] {
+	const pending = transitions.map(transition => ({
+		transition,
+		buckets: transition.desired.flatMap((region, bucket) => (region === transition.current[bucket] ? [] : [bucket]))
 	}));
 	const stages: GroupStage[] = [];
 	while (pending.some(item => item.buckets.length > 0)) {
-		const taken = pending.map(item => ({ move: item.move, buckets: item.buckets.splice(0, group.capPermille) }));
-		const used = taken.filter(item => item.buckets.length > 0);
+		const batches = pending.map(item => ({
+			transition: item.transition,
+			buckets: item.buckets.splice(0, group.capPermille)
+		}));
+		const nonEmptyBatches = batches.filter(item => item.buckets.length > 0);
 		stages.push({
 			group,
-			moves: used.map(item => toPlacementMove(item.move, item.buckets)),
-			from: used.flatMap(item => item.buckets.map(bucket => item.move.current[bucket]!)),
-			to: used.flatMap(item => item.buckets.map(bucket => item.move.wanted[bucket]!)),
-			permille: Math.max(...used.map(item => item.buckets.length))
+			moves: nonEmptyBatches.map(item => toPlacementMove(item.transition, item.buckets)),
+			from: nonEmptyBatches.flatMap(item => item.buckets.map(bucket => item.transition.current[bucket]!)),
+			to: nonEmptyBatches.flatMap(item => item.buckets.map(bucket => item.transition.desired[bucket]!)),
+			permille: Math.max(...nonEmptyBatches.map(item => item.buckets.length))
 		});
 	}
 	return stages;
 }
 
-function toPlacementMove(move: WantedMove, buckets: readonly number[]): PlacementMove {
-	const nowhere = '';
-	const regions = new Array<string>(BUCKET_COUNT).fill(nowhere);
-	buckets.forEach(bucket => (regions[bucket] = move.wanted[bucket]!));
-	const ranges: readonly PlacementRange[] = compressPlacement(move.group.name, nowhere, regions).ranges;
-	return { group: move.group.name, home: move.home, ranges };
+function toPlacementMove(transition: PlacementTransition, buckets: readonly number[]): PlacementMove {
+	const unassigned = '';
+	const regions = new Array<string>(BUCKET_COUNT).fill(unassigned);
+	buckets.forEach(bucket => (regions[bucket] = transition.desired[bucket]!));
+	const ranges: readonly PlacementRange[] = compressPlacement(transition.group.name, unassigned, regions).ranges;
+	return { group: transition.group.name, home: transition.home, ranges };
 }
 
 function mergeStage(parts: readonly GroupStage[], at: number): PlanStage {
--- a/src/plugins/shifts/common/shiftPacing.ts
+++ b/src/plugins/shifts/common/shiftPacing.ts
@@ -2,33 +2,33 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** When the next stage of a plan may begin. Pure: time is passed in. */
+/** Decides when the next stage of a plan may begin. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { GroupConfiguration, Revision } from '../../configuration/common/configuration.js';
 import type { PlanStage } from '../../configuration/common/intents.js';
 
-/** The last move of a group's clients, whichever plan made it. */
+/** Latest move of a group's clients by any plan. */
 interface GroupMove {
 	readonly revision: Revision;
-	/** When every live instance had it in force; undefined until then. */
+	/** Time at which all live instances had applied it; undefined until then. */
 	inForceAt?: Millis;
 }
 
-/** Keeps the time between the moves of each group, so that all shifts of the same clients share one cap. */
+/** Enforces the minimum time between moves of each group, so that all plans that move its clients share one cap. */
 export class ShiftPacing {
 	private readonly _lastMoves = new Map<string, GroupMove>();
 
-	/** A revision moved clients of a group. */
+	/** Records that a revision moves clients of a group. */
 	recordMove(group: string, revision: Revision): void {
 		this._lastMoves.set(group, { revision });
 	}
 
 	/**
-	 * The live instances have everything up to a revision in force.
-	 * @param now when that was noticed
+	 * Records that all live instances have applied the configuration up to a revision.
+	 * @param now time of this observation
 	 */
-	recordInForce(revision: Revision, now: Millis): void {
+	recordRevisionInForce(revision: Revision, now: Millis): void {
 		for (const move of this._lastMoves.values()) {
 			if (move.inForceAt === undefined && move.revision <= revision) {
 				move.inForceAt = now;
@@ -37,19 +37,19 @@
 	}
 
 	/**
-	 * Whether a stage may begin now: the last move of each group it concerns is in force, every look-up made before that
-	 * has run out, and a whole window has passed since. Then no window holds parts of two stages.
+	 * Returns whether a stage may begin now: the latest move of each group it moves was applied, and since then the
+	 * look-up TTL and the cap window of the group have passed. Thus no window contains moves of two stages.
 	 */
-	mayBegin(
+	canBeginStage(
 		stage: PlanStage,
-		groupOf: (name: string) => GroupConfiguration | undefined,
+		getGroup: (name: string) => GroupConfiguration | undefined,
 		lookupTtlMs: Millis,
 		now: Millis
 	): boolean {
 		const groups = new Set(stage.moves.map(move => move.group));
 		return [...groups].every(name => {
 			const last = this._lastMoves.get(name);
-			const windowMs = groupOf(name)?.capWindowMs ?? 0;
+			const windowMs = getGroup(name)?.capWindowMs ?? 0;
 			if (!last) {
 				return true;
 			}
--- a/src/plugins/shifts/common/shiftSettings.ts
+++ b/src/plugins/shifts/common/shiftSettings.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The settings of steering that control needs to know. */
+/** Steering settings of control instances. */
 
 import { ProcessKind } from '../../../kernel/common/pluginRegistry.js';
 import { integerSchema, settingsRegistry } from '../../../kernel/common/settingsRegistry.js';
@@ -16,11 +16,11 @@
 	name: 'steering',
 	named: false,
 	kinds: [ProcessKind.Control],
-	description: 'What control must know of the look-ups.',
+	description: 'Settings of look-ups that control instances need.',
 	keys: {
 		lookupTtlMs: {
 			schema: integerSchema(100, 3600000),
-			description: 'The longest time that entry instances let callers cache a look-up, 100 to 3600000 ms.',
+			description: 'Maximum time for which entry instances let callers cache a look-up, 100 to 3600000 ms.',
 			default: '2000'
 		}
 	}
--- a/src/plugins/shifts/common/shifts.ts
+++ b/src/plugins/shifts/common/shifts.ts
@@ -2,24 +2,25 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What other features see of the shifts. */
+/** Service that carries out confirmed plans. */
 
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 
-/** One thing that happened to a plan, for explanations. */
+/** A decision about a plan, recorded for `/v1/explain`. */
 export interface ShiftDecision {
+	/** Time in ISO 8601 format. */
 	readonly at: string;
 	readonly planId: string;
 	readonly decision: string;
 }
 
-/** Advances confirmed plans on the leader. */
+/** Advances confirmed plans while this instance is the leader. */
 export interface IShifts {
-	/** Looks at the plans now instead of at the next interval. */
+	/** Advances the plans without waiting for the next interval. */
 	advance(): Promise<void>;
-	/** Decisions of this instance, newest last. */
+	/** The latest decisions of this instance, oldest first. */
 	readonly decisions: readonly ShiftDecision[];
 }
 
-/** Identifier of the shifts. */
+/** Service identifier of the shifts. */
 export const IShifts = createServiceIdentifier<IShifts>('shifts');
--- a/src/plugins/shifts/node/shiftTask.ts
+++ b/src/plugins/shifts/node/shiftTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** On the leader: begins the next stage of each running plan when it may, holds it when the destination is not fit. */
+/** Advances confirmed plans on the leader: begins their stages, and holds them while a destination region is not fit. */
 
 import { systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -16,14 +16,14 @@
 import { IEntryMembership } from '../../membership/common/entryMembership.js';
 import type { KnownEntry } from '../../membership/common/entryRegistry.js';
 import { type ControlSteeringSettings } from '../common/shiftSettings.js';
-import { reasonToHold } from '../common/shiftHealth.js';
+import { findHoldReason } from '../common/destinationHealth.js';
 import { ShiftPacing } from '../common/shiftPacing.js';
 import type { IShifts, ShiftDecision } from '../common/shifts.js';
 
-const INTERVAL_MS = 100;
-const KEPT_DECISIONS = 500;
+const ADVANCE_INTERVAL_MS = 100;
+const MAX_STORED_DECISIONS = 500;
 
-/** Shifts of one control instance; it acts only while it leads. */
+/** Carries out the plans of the control state while this instance is the leader. */
 export class ShiftTask extends Disposable implements IShifts {
 	private readonly _pacing = new ShiftPacing();
 	private readonly _decisions: ShiftDecision[] = [];
@@ -39,8 +39,8 @@
 	) {
 		super();
 		this._lookupTtlMs = settings.section<ControlSteeringSettings>('steering').lookupTtlMs;
-		this._register(this._control.state.onDidChange(delta => this._noteMoves(delta)));
-		const timer = setInterval(() => this._onInterval(), INTERVAL_MS);
+		this._register(this._control.state.onDidChange(delta => this._recordMoves(delta)));
+		const timer = setInterval(() => this._onInterval(), ADVANCE_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
@@ -51,7 +51,7 @@
 	async advance(): Promise<void> {
 		await this._advancing;
 		this._advancing ??= this._advanceAll()
-			.catch((error: Error) => this._log.warn('shift not advanced', { task: 'shifts', error: error.message }))
+			.catch((error: Error) => this._log.warn('cannot advance plans', { task: 'shifts', error: error.message }))
 			.finally(() => (this._advancing = undefined));
 		await this._advancing;
 	}
@@ -66,11 +66,11 @@
 		if (!this._agreement.hasLease()) {
 			return;
 		}
-		this._pacing.recordInForce(leastInForce(this._membership.live()), systemClock.now());
-		const open = this._control.state.plans.filter(
+		this._pacing.recordRevisionInForce(minRevisionInForce(this._membership.live()), systemClock.now());
+		const openPlans = this._control.state.plans.filter(
 			record => record.status === PlanStatus.Running || record.status === PlanStatus.Holding
 		);
-		for (const record of open) {
+		for (const record of openPlans) {
 			await this._advancePlan(record);
 		}
 	}
@@ -78,27 +78,28 @@
 	private async _advancePlan(record: PlanRecord): Promise<void> {
 		const { planId, stages } = record.plan;
 		const stage = stages[record.stagesBegun];
-		const isInForce = record.stagesBegun === 0 || leastInForce(this._membership.live()) >= record.stageRevision;
-		if (!isInForce) {
+		const isLastStageInForce =
+			record.stagesBegun === 0 || minRevisionInForce(this._membership.live()) >= record.stageRevision;
+		if (!isLastStageInForce) {
 			return;
 		}
 		if (!stage) {
 			await this._propose({ type: 'markPlan', planId, status: PlanStatus.Done });
-			this._decide(planId, 'done: the last stage is in force everywhere');
+			this._recordDecision(planId, 'done: all live entry instances have applied the last stage');
 			return;
 		}
-		const groupOf = (name: string) => this._control.state.configuration.group(name);
-		if (!this._pacing.mayBegin(stage, groupOf, this._lookupTtlMs, systemClock.now())) {
+		const getGroup = (name: string) => this._control.state.configuration.group(name);
+		if (!this._pacing.canBeginStage(stage, getGroup, this._lookupTtlMs, systemClock.now())) {
 			return;
 		}
-		const known = [...this._membership.live(), ...this._membership.silent()];
-		const reason = reasonToHold(stage, known, systemClock.now());
+		const entries = [...this._membership.live(), ...this._membership.silent()];
+		const reason = findHoldReason(stage, entries, systemClock.now());
 		if (reason) {
 			await this._hold(record, reason);
 			return;
 		}
 		await this._propose({ type: 'beginStage', planId, stage: record.stagesBegun });
-		this._decide(planId, `stage ${record.stagesBegun + 1} of ${stages.length} begun: ${stage.move}`);
+		this._recordDecision(planId, `stage ${record.stagesBegun + 1} of ${stages.length} begun: ${stage.move}`);
 	}
 
 	private async _hold(record: PlanRecord, reason: string): Promise<void> {
@@ -107,20 +108,20 @@
 		}
 		const { planId } = record.plan;
 		await this._propose({ type: 'markPlan', planId, status: PlanStatus.Holding, holdReason: reason });
-		this._decide(planId, `held: ${reason}`);
+		this._recordDecision(planId, `held: ${reason}`);
 	}
 
 	private _propose(body: ControlCommand): Promise<ControlResult> {
 		return this._agreement.propose<ControlResult>({ part: CONTROL_PART, body });
 	}
 
-	private _decide(planId: string, decision: string): void {
+	private _recordDecision(planId: string, decision: string): void {
 		this._decisions.push({ at: new Date().toISOString(), planId, decision });
-		this._decisions.splice(0, this._decisions.length - KEPT_DECISIONS);
+		this._decisions.splice(0, this._decisions.length - MAX_STORED_DECISIONS);
 		this._log.info(decision, { task: 'shifts', planId, revision: this._control.state.configuration.revision });
 	}
 
-	private _noteMoves(delta: ConfigurationDelta | undefined): void {
+	private _recordMoves(delta: ConfigurationDelta | undefined): void {
 		const { configuration } = this._control.state;
 		if (!delta) {
 			configuration.groups.forEach(group => this._pacing.recordMove(group.name, configuration.revision));
@@ -134,7 +135,7 @@
 	}
 }
 
-/** The revision that every one of the instances has in force; 0 when there is none. */
-function leastInForce(entries: readonly KnownEntry[]): number {
+/** Returns the highest revision that all given instances have applied; 0 if there are no instances. */
+function minRevisionInForce(entries: readonly KnownEntry[]): number {
 	return entries.length === 0 ? 0 : Math.min(...entries.map(entry => entry.report.revisionInForce));
 }
--- a/src/plugins/shifts/shifts.plugin.ts
+++ b/src/plugins/shifts/shifts.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the shifts. */
+/** Registers the service that carries out confirmed plans. */
 
 import { pluginRegistry } from '../../kernel/common/pluginRegistry.js';
 import './common/shiftSettings.js';
