--- a/src/plugins/planning/common/headroom.ts
+++ b/src/plugins/planning/common/headroom.ts
@@ -27,12 +27,12 @@
 /** Forecasts the load after all stages from the current load. */
 export function forecastHeadroom(
 	stages: readonly PlanStage[],
-	measurements: Measurements,
+	measuredLoads: Measurements,
 	configuration: ConfigurationTable
 ): HeadroomForecast {
-	const forecasts = measurements.loads.map(load => ({ load, groups: load.groups.map(group => ({ ...group })) }));
+	const forecasts = measuredLoads.loads.map(load => ({ load, groups: load.groups.map(group => ({ ...group })) }));
 	for (const stage of stages) {
-		moveDemand(stage, forecasts, measurements);
+		moveDemand(stage, forecasts, measuredLoads);
 	}
 	const headroomAfter = forecasts.map(toHeadroom);
 	return {
@@ -43,11 +43,11 @@
 	};
 }
 
-function moveDemand(stage: PlanStage, forecasts: ForecastLoad[], measurements: Measurements): void {
+function moveDemand(stage: PlanStage, forecasts: ForecastLoad[], measuredLoads: Measurements): void {
 	for (const move of stage.moves) {
 		for (const range of move.ranges) {
 			const fraction = (range.to - range.from) / BUCKET_COUNT;
-			for (const source of measurements.loads.filter(load => load.region === move.home)) {
+			for (const source of measuredLoads.loads.filter(load => load.region === move.home)) {
 				const demand = source.groups.find(group => group.group === move.group)?.used ?? 0;
 				addDemand(forecasts, move.home, source.service, move.group, -demand * fraction);
 				addDemand(forecasts, range.region, source.service, move.group, demand * fraction);
--- a/src/plugins/planning/common/planner.ts
+++ b/src/plugins/planning/common/planner.ts
@@ -190,8 +190,8 @@
 }
 
 /** Distributes buckets over regions in proportion to their free slots; evenly if there are none. */
-function spreadByFreeSlots(regions: readonly string[], measurements: Measurements): (bucket: number) => string {
-	const freeSlots = regions.map(region => measurements.freeSlots(region));
+function spreadByFreeSlots(regions: readonly string[], measuredLoads: Measurements): (bucket: number) => string {
+	const freeSlots = regions.map(region => measuredLoads.freeSlots(region));
 	const total = freeSlots.reduce((sum, count) => sum + count, 0);
 	const weights = freeSlots.map(count => (total > 0 ? count / total : 1 / regions.length));
 	const regionOfBucket: string[] = [];
