--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -2,20 +2,20 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Time sources. Decisions use the monotonic clock; the wall clock is for people and dates only. */
+/** Time sources. Decisions use the monotonic clock; the wall clock serves only for dates, output and detecting suspensions. */
 
-/** A span or a point on the monotonic clock, in milliseconds. */
+/** A duration, or a point in time on the monotonic clock, in milliseconds. */
 export type Millis = number;
 
-/** Where a component reads time from, so that tests can drive it. */
+/** Time source of a component; tests substitute a clock that they advance themselves. */
 export interface IClock {
-	/** Monotonic milliseconds since an arbitrary start; it goes on while the process is stopped by SIGSTOP. */
+	/** Monotonic time in milliseconds from an arbitrary origin; it advances while the process is stopped by SIGSTOP. */
 	now(): Millis;
-	/** Milliseconds since 1970 by the wall clock. */
+	/** Wall-clock time as Unix milliseconds. */
 	wallNow(): number;
 }
 
-/** When this process started, on its own monotonic clock, which counts from there. */
+/** Start time of this process; the origin of its monotonic clock. */
 export const PROCESS_STARTED_AT: Millis = 0;
 
 /** The clock of the operating system. */
--- a/src/base/disposable.ts
+++ b/src/base/disposable.ts
@@ -2,23 +2,23 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Resource ownership: everything that holds a timer, socket or listener is disposable. */
+/** Resource ownership: objects that hold timers, sockets or listeners implement {@link IDisposable}. */
 
-/** Something that releases what it holds when told to. */
+/** An object that holds resources until it is disposed. */
 export interface IDisposable {
-	/** Releases the resources held; calling it again does nothing. */
+	/** Releases the resources; further calls have no effect. */
 	dispose(): void;
 }
 
 /** Wraps a function as a disposable that runs it at most once. */
 export function toDisposable(release: () => void): IDisposable {
-	let done = false;
+	let isDisposed = false;
 	return {
 		dispose: () => {
-			if (done) {
+			if (isDisposed) {
 				return;
 			}
-			done = true;
+			isDisposed = true;
 			release();
 		}
 	};
@@ -29,7 +29,7 @@
 	private readonly _items: IDisposable[] = [];
 	private _isDisposed = false;
 
-	/** Adds one item and returns it; on a store already disposed the item is disposed at once. */
+	/** Adds an item and returns it; if the store is already disposed, the item is disposed immediately. */
 	add<T extends IDisposable>(item: T): T {
 		if (this._isDisposed) {
 			item.dispose();
@@ -51,7 +51,7 @@
 export abstract class Disposable implements IDisposable {
 	private readonly _disposables = new DisposableStore();
 
-	/** Registers an item that is released with this object. */
+	/** Registers an item that is disposed with this object. */
 	protected _register<T extends IDisposable>(item: T): T {
 		return this._disposables.add(item);
 	}
--- a/src/base/event.ts
+++ b/src/base/event.ts
@@ -2,24 +2,24 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Typed events: an `Emitter` is private to its owner, the `Event` it offers is public. */
+/** Typed events: the owner keeps the `Emitter` private and exposes its `Event`. */
 
 import { type IDisposable, toDisposable } from './disposable.js';
 
-/** Subscribes a listener until the returned disposable is disposed. */
+/** Subscribes a listener; disposing the result unsubscribes it. */
 export type Event<T> = (listener: (value: T) => void) => IDisposable;
 
-/** The owner's side of an event. */
+/** Fires an event and keeps its listeners. */
 export class Emitter<T> implements IDisposable {
 	private readonly _listeners = new Set<(value: T) => void>();
 
-	/** The public side. */
+	/** Subscribes to this event. */
 	readonly event: Event<T> = listener => {
 		this._listeners.add(listener);
 		return toDisposable(() => this._listeners.delete(listener));
 	};
 
-	/** Calls every listener, in order of subscription. */
+	/** Calls all listeners in order of subscription. */
 	fire(value: T): void {
 		for (const listener of [...this._listeners]) {
 			listener(value);
--- a/src/base/mailbox.ts
+++ b/src/base/mailbox.ts
@@ -2,37 +2,37 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The inbox of a task: messages are handled one batch at a time, in order of arrival. */
+/** Queue of messages for a task, which handles them in batches, in order of arrival. */
 
 import type { IDisposable } from './disposable.js';
 
 /**
- * Collects messages and hands them to one handler in batches. While the handler awaits (a disk sync, say),
- * further messages gather and form the next batch; that is what makes one sync serve many writes.
+ * Passes messages to a handler, one batch at a time. Messages that arrive while the handler is running form the next
+ * batch, so that one disk sync can serve many writes.
  */
 export class Mailbox<T> implements IDisposable {
 	private _pending: T[] = [];
-	private _running = false;
+	private _isHandling = false;
 	private _isDisposed = false;
 
 	/**
-	 * @param _handle handles one batch; it is never called again before its promise settles
-	 * @param _onError receives what the handler threw
+	 * @param _handle handles one batch; not called again until its promise settles
+	 * @param _onError receives errors of the handler; the messages of that batch are not retried
 	 */
 	constructor(
 		private readonly _handle: (batch: T[]) => Promise<void>,
 		private readonly _onError: (error: Error) => void
 	) {}
 
-	/** Adds one message; handling starts in a microtask at the earliest. */
+	/** Adds a message; it is handled asynchronously. After `dispose` it is dropped. */
 	post(message: T): void {
 		if (this._isDisposed) {
 			return;
 		}
 		this._pending.push(message);
-		if (!this._running) {
-			this._running = true;
-			queueMicrotask(() => void this._drain());
+		if (!this._isHandling) {
+			this._isHandling = true;
+			queueMicrotask(() => void this._handleBatches());
 		}
 	}
 
@@ -41,7 +41,7 @@
 		this._pending = [];
 	}
 
-	private async _drain(): Promise<void> {
+	private async _handleBatches(): Promise<void> {
 		while (this._pending.length > 0) {
 			const batch = this._pending;
 			this._pending = [];
@@ -51,6 +51,6 @@
 				this._onError(error as Error);
 			}
 		}
-		this._running = false;
+		this._isHandling = false;
 	}
 }
--- a/src/base/suspensionWatch.ts
+++ b/src/base/suspensionWatch.ts
@@ -2,40 +2,41 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Notices that the machine may have been suspended, which the steady clock does not count. */
+/** Detects that the machine may have been suspended, during which the monotonic clock does not advance. */
 
 import { type IClock, type Millis, systemClock } from './clock.js';
 
 /**
- * The time of day runs ahead of the steady clock by more than this between two looks in a suspension, or where somebody sets it:
- * it is corrected by a ten-thousandth at most otherwise.
+ * How far the wall clock may get ahead of the monotonic clock between two checks without a suspension; clock synchronization
+ * slews the wall clock by at most 0.01 %.
  */
-const TOLERANCE_MS = 50;
+const MAX_CLOCK_DRIFT_MS = 50;
 
-/** What needs to know whether time passed that the steady clock did not count. */
+/** Detects suspensions of the machine. */
 export interface ISuspensionWatch {
-	/** Whether the machine may have been suspended since the last call; the first one looks back to the creation. */
+	/** Returns whether the machine may have been suspended since the previous call, or since creation for the first call. */
 	takeLeap(): boolean;
 }
 
 /**
- * Compares both clocks whenever it is asked. The time of day decides nothing but that a lease is believed for a shorter time: set
- * ahead, it costs a lease that would have held. A suspension during which it is set back by as much is not noticed.
+ * Compares the elapsed time of the wall clock with that of the monotonic clock. Setting the wall clock forward is reported as
+ * a suspension, which ends a lease early and is safe. A suspension during which the wall clock is set back by the same
+ * amount is not detected.
  */
 export class SuspensionWatch implements ISuspensionWatch {
-	private _steadyAt: Millis;
-	private _wallAt: number;
+	private _lastMonotonicMs: Millis;
+	private _lastWallMs: number;
 
 	constructor(private readonly _clock: IClock = systemClock) {
-		this._steadyAt = _clock.now();
-		this._wallAt = _clock.wallNow();
+		this._lastMonotonicMs = _clock.now();
+		this._lastWallMs = _clock.wallNow();
 	}
 
 	takeLeap(): boolean {
-		const steadyMs = this._clock.now() - this._steadyAt;
-		const wallMs = this._clock.wallNow() - this._wallAt;
-		this._steadyAt += steadyMs;
-		this._wallAt += wallMs;
-		return wallMs - steadyMs > TOLERANCE_MS;
+		const elapsedMonotonicMs = this._clock.now() - this._lastMonotonicMs;
+		const elapsedWallMs = this._clock.wallNow() - this._lastWallMs;
+		this._lastMonotonicMs += elapsedMonotonicMs;
+		this._lastWallMs += elapsedWallMs;
+		return elapsedWallMs - elapsedMonotonicMs > MAX_CLOCK_DRIFT_MS;
 	}
 }
--- a/src/base/test/suspensionWatch.test.ts
+++ b/src/base/test/suspensionWatch.test.ts
@@ -2,48 +2,48 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Both clocks driven apart: a suspension is noticed, and so is a time of day that somebody sets ahead. */
+/** A wall clock that gets ahead of the monotonic clock must be reported, or leases outlive a suspension of the machine. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { IClock } from '../clock.js';
 import { SuspensionWatch } from '../suspensionWatch.js';
 
-/** Clocks that a test moves. */
-class ScriptedClock implements IClock {
-	private _steady = 500;
-	private _wall = 1767630000000;
+/** Monotonic and wall clock that a test advances. */
+class ManualClock implements IClock {
+	private _monotonicMs = 500;
+	private _wallMs = 1767630000000;
 
-	pass(steadyMs: number, wallMs = steadyMs): void {
-		this._steady += steadyMs;
-		this._wall += wallMs;
+	advance(monotonicMs: number, wallMs = monotonicMs): void {
+		this._monotonicMs += monotonicMs;
+		this._wallMs += wallMs;
 	}
 
 	now(): number {
-		return this._steady;
+		return this._monotonicMs;
 	}
 
 	wallNow(): number {
-		return this._wall;
+		return this._wallMs;
 	}
 }
 
-test('time that only the time of day counts is noticed, once', () => {
-	const clock = new ScriptedClock();
+test('a jump of the wall clock alone is reported once', () => {
+	const clock = new ManualClock();
 	const watch = new SuspensionWatch(clock);
-	clock.pass(10000, 10040);
+	clock.advance(10000, 10040);
 	assert.equal(watch.takeLeap(), false);
-	clock.pass(20, 3020);
+	clock.advance(20, 3020);
 	assert.equal(watch.takeLeap(), true);
-	clock.pass(1000);
+	clock.advance(1000);
 	assert.equal(watch.takeLeap(), false);
 });
 
-test('a time of day that is set back says nothing, and one that is set ahead again counts as a suspension', () => {
-	const clock = new ScriptedClock();
+test('setting the wall clock back is not reported, setting it forward again is', () => {
+	const clock = new ManualClock();
 	const watch = new SuspensionWatch(clock);
-	clock.pass(1000, -1000);
+	clock.advance(1000, -1000);
 	assert.equal(watch.takeLeap(), false);
-	clock.pass(1000, 3000);
+	clock.advance(1000, 3000);
 	assert.equal(watch.takeLeap(), true);
 });
--- a/src/base/verdict.ts
+++ b/src/base/verdict.ts
@@ -2,37 +2,37 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What may be claimed about a request that did not end normally. */
+/** Outcomes and errors of requests that the system itself answers. */
 
 import type { Millis } from './clock.js';
 
 /**
  * Whether a request ran at a target.
- * - `not-run`: certain that no byte of it was written to a target's socket.
- * - `may-have-run`: bytes may have reached a target and its answer is missing.
- * - `ran`: a target answered.
+ * - `not-run`: no byte of it was written to the socket of a target.
+ * - `may-have-run`: bytes may have reached a target, but there is no complete response.
+ * - `ran`: a target responded.
  */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran';
 
-/** Why the system itself answered a request; a closed list so that metrics stay bounded. */
+/** Why the system itself answered a request; a closed list, which bounds the cardinality of metrics. */
 export enum RefusalReason {
 	BadRequest = 'bad-request',
 	UnknownService = 'unknown-service',
 	UnknownGroup = 'unknown-group',
-	/** The caller showed no key, or one that no team holds. */
+	/** The request has no API key, or one that belongs to no team. */
 	UnknownKey = 'unknown-key',
-	/** The homes of its route and of its team have no region in common. */
+	/** The route and the team of the request have no home region in common. */
 	NoHomeRegion = 'no-home-region',
-	/** Targets ended under it, one after the other: it is sent to none any more. */
+	/** Several targets stopped while running the request, so it is not sent to further targets. */
 	Quarantined = 'quarantined',
-	/** Its team has used up its limit. */
+	/** The team of the request has used up its rate limit. */
 	OverLimit = 'over-limit',
 	BodyTooLarge = 'body-too-large',
 	NoConfiguration = 'no-configuration',
 	NoCapacity = 'no-capacity',
-	/** All targets that it could go to want to be left alone for now. */
+	/** All eligible targets requested backoff. */
 	TargetsAtRest = 'targets-at-rest',
-	/** All targets that it could go to are at the limits that they named for all instances, or want to be left alone. */
+	/** All eligible targets are at their reported rate limits or requested backoff. */
 	TargetsAtLimit = 'targets-at-limit',
 	LinkFull = 'link-full',
 	QueueFull = 'queue-full',
@@ -49,13 +49,12 @@
 	Draining = 'draining'
 }
 
-/** A request given up on by the system, with what is certain about it. */
+/** The system failed or refused a request. */
 export class RequestError extends Error {
 	/**
-	 * @param verdict what is certain about the request
-	 * @param reason the cause, from the closed list
-	 * @param status the HTTP status of the answer
-	 * @param retryAfterMs when asking again may help, in milliseconds
+	 * @param verdict whether the request ran at a target
+	 * @param status HTTP status of the response
+	 * @param retryAfterMs delay after which a retry may succeed, in milliseconds
 	 */
 	constructor(
 		readonly verdict: Verdict,
