--- a/src/bin/allSettings.ts
+++ b/src/bin/allSettings.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Imports every feature, so that the settings of each kind of process are declared. */
+/** Imports all plug-ins, so that the settings of all kinds of process are registered. */
 
 import '../kernel/node/instanceSettings.js';
 import '../plugins/agreement/agreement.plugin.js';
--- a/src/bin/control.ts
+++ b/src/bin/control.ts
@@ -3,7 +3,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** `shelffield-control`: the replicated log, plans and shifts. */
+/** `shelffield-control`: the control instance, with the replicated log, plans and shifts. */
 
 import '../plugins/agreement/agreement.plugin.js';
 import '../plugins/configuration/configuration.plugin.js';
--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -3,7 +3,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** `shelffield-entry`: look-ups, requests of callers to targets, admission. */
+/** `shelffield-entry`: the entry instance, with look-ups, request forwarding and admission control. */
 
 import '../plugins/configuration/configuration.plugin.js';
 import '../plugins/steering/steering.plugin.js';
--- a/src/kernel/common/instantiationService.ts
+++ b/src/kernel/common/instantiationService.ts
@@ -2,28 +2,31 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Creates services on first use and injects them into constructors. */
+/** Dependency injection: creates services on first use and passes them to constructors. */
 
 import { Disposable, type IDisposable } from '../../base/disposable.js';
 import { type ServiceConstructor, type ServiceIdentifier, getServiceDependencies } from './serviceIdentifier.js';
 
 /** Gives access to the services of the process. */
 export interface IServiceAccessor {
-	/** Returns the service, created now if need be; throws when nobody registered it. */
+	/**
+	 * Returns the service, creating it on first use.
+	 * @throws Error the service is not registered, or depends on itself
+	 */
 	get<T>(identifier: ServiceIdentifier<T>): T;
 }
 
 /** The services of one process. */
 export class InstantiationService extends Disposable implements IServiceAccessor {
 	private readonly _instances = new Map<string, unknown>();
-	private readonly _creating: string[] = [];
+	private readonly _creationStack: string[] = [];
 
 	/** @param _constructors the class of each service, by identifier */
 	constructor(private readonly _constructors: ReadonlyMap<string, ServiceConstructor<unknown>>) {
 		super();
 	}
 
-	/** Provides a service that exists already. */
+	/** Sets the instance of a service, which is not disposed with this object. */
 	set<T>(identifier: ServiceIdentifier<T>, instance: T): void {
 		this._instances.set(identifier.id, instance);
 	}
@@ -37,20 +40,20 @@
 		if (!constructor) {
 			throw new Error(`service '${identifier.id}' is not registered in this process`);
 		}
-		if (this._creating.includes(identifier.id)) {
-			throw new Error(`services depend on each other in a circle: ${[...this._creating, identifier.id].join(' > ')}`);
+		if (this._creationStack.includes(identifier.id)) {
+			throw new Error(`cyclic dependency between services: ${[...this._creationStack, identifier.id].join(' > ')}`);
 		}
-		this._creating.push(identifier.id);
+		this._creationStack.push(identifier.id);
 		try {
 			const instance = this.createInstance(constructor);
 			this._instances.set(identifier.id, instance);
 			return instance as T;
 		} finally {
-			this._creating.pop();
+			this._creationStack.pop();
 		}
 	}
 
-	/** Creates an object of a class whose parameters are all services; it is disposed with this service. */
+	/** Creates an instance of a class whose constructor parameters are all services; it is disposed with this object. */
 	createInstance<T>(constructor: ServiceConstructor<T>): T {
 		const services = getServiceDependencies(constructor).map(dependency => this.get(dependency.identifier));
 		const instance = new constructor(...(services as never[]));
--- a/src/kernel/common/pluginRegistry.ts
+++ b/src/kernel/common/pluginRegistry.ts
@@ -2,37 +2,37 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Where plug-ins register themselves when they are imported: services and contributions. */
+/** Registry of the services and contributions of plug-ins, which register them when they are imported. */
 
 import type { IDisposable } from '../../base/disposable.js';
 import type { ServiceConstructor, ServiceIdentifier } from './serviceIdentifier.js';
 
-/** The kinds of long-running process. */
+/** Kinds of process. */
 export enum ProcessKind {
 	Control = 'control',
 	Entry = 'entry',
-	/** The operator's command line; not a long-running process, but it has settings too. */
+	/** The command line for operators; it is not long-running, but has settings too. */
 	CommandLine = 'command-line'
 }
 
 /**
- * When a contribution starts. The order of imports cannot say it: a module that awaits something while it is imported lets
- * others register before it.
+ * When a contribution starts. The order of registration does not determine it, since modules with a top-level `await`
+ * let modules that are imported after them register first.
  */
 export enum ContributionPhase {
-	/** Opens what the others stand on: files, and the listener for peers. */
+	/** Opens what other contributions depend on: files and the peer listener. */
 	Foundation = 0,
-	/** Works between the processes. */
+	/** Communicates with other processes of the system. */
 	Service = 1,
-	/** Opens a port to callers or operators. */
+	/** Opens a listener for callers or operators. */
 	Port = 2
 }
 
-/** A part of a process that lives from its start to its end. */
+/** A component that lives as long as its process. */
 export interface IContribution extends Partial<IDisposable> {
-	/** Starts work; the process is ready when all contributions have started. */
+	/** Starts the component; the process is ready once all contributions have started. */
 	start?(): Promise<void>;
-	/** Finishes work in flight before a planned stop. */
+	/** Completes the work in progress before a graceful shutdown. */
 	drain?(): Promise<void>;
 }
 
@@ -40,7 +40,10 @@
 	private readonly _services = new Map<string, ServiceConstructor<unknown>>();
 	private readonly _contributions: RegisteredContribution[] = [];
 
-	/** Registers the class of a service; a second class for the same identifier is a programming error. */
+	/**
+	 * Registers the class of a service.
+	 * @throws Error the service already has a class
+	 */
 	registerSingleton<T>(identifier: ServiceIdentifier<T>, constructor: ServiceConstructor<T>): void {
 		if (this._services.has(identifier.id)) {
 			throw new Error(`service '${identifier.id}' is registered twice`);
@@ -48,7 +51,7 @@
 		this._services.set(identifier.id, constructor);
 	}
 
-	/** Registers a contribution for the given kinds of process; those of an earlier phase start before. */
+	/** Registers a contribution for the given kinds of process; contributions start in order of their phases. */
 	registerContribution(
 		kinds: readonly ProcessKind[],
 		phase: ContributionPhase,
@@ -57,12 +60,12 @@
 		this._contributions.push({ kinds, phase, constructor });
 	}
 
-	/** All services registered so far. */
+	/** Classes of the registered services, by service id. */
 	get services(): ReadonlyMap<string, ServiceConstructor<unknown>> {
 		return this._services;
 	}
 
-	/** The contributions for one kind of process, in the order in which they start. */
+	/** The contributions for one kind of process, in their start order. */
 	contributionsFor(kind: ProcessKind): ServiceConstructor<IContribution>[] {
 		return this._contributions
 			.filter(entry => entry.kinds.includes(kind))
--- a/src/kernel/common/serviceIdentifier.ts
+++ b/src/kernel/common/serviceIdentifier.ts
@@ -2,20 +2,20 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Service identifiers: the key of a service and, at once, the decorator that asks for it in a constructor. */
+/** Service identifiers: each is the key of a service and the decorator that injects it into a constructor. */
 
 const SERVICE_DEPENDENCIES = Symbol('serviceDependencies');
 
-/** Names a service of type `T`; used as a constructor parameter decorator. */
+/** Identifies a service of type `T`; also a constructor parameter decorator. */
 export interface ServiceIdentifier<T> {
 	(target: object, property: string | undefined, index: number): void;
-	/** Unique name, for error messages. */
+	/** Unique name: the key of the service, also shown in error messages. */
 	readonly id: string;
-	/** Carries the type only; never set. */
+	/** Binds `T` at compile time; never set. */
 	readonly _type?: T;
 }
 
-/** One constructor parameter that is to be injected. */
+/** A constructor parameter that is injected. */
 export interface ServiceDependency {
 	readonly index: number;
 	readonly identifier: ServiceIdentifier<unknown>;
@@ -24,7 +24,7 @@
 /** A class whose constructor parameters are all services. */
 export type ServiceConstructor<T> = new (...services: never[]) => T;
 
-/** Creates the identifier of a service; call it once, beside the interface. */
+/** Creates the identifier of a service; to be called once, next to the interface of the service. */
 export function createServiceIdentifier<T>(id: string): ServiceIdentifier<T> {
 	const identifier = ((target: object, _property: string | undefined, index: number) => {
 		const holder = target as { [SERVICE_DEPENDENCIES]?: ServiceDependency[] };
@@ -37,7 +37,7 @@
 	return identifier;
 }
 
-/** The dependencies that a class declared, in the order of its parameters. */
+/** The injected parameters of a class, in order. */
 export function getServiceDependencies(target: object): ServiceDependency[] {
 	const declared = (target as { [SERVICE_DEPENDENCIES]?: ServiceDependency[] })[SERVICE_DEPENDENCIES] ?? [];
 	return [...declared].sort((a, b) => a.index - b.index);
--- a/src/kernel/common/settingsRegistry.ts
+++ b/src/kernel/common/settingsRegistry.ts
@@ -2,27 +2,27 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Where features declare their settings: type, unit, default and description, beside the code that uses them. */
+/** Registry of settings, which each plug-in declares with type, unit, default and description, and schemas for their values. */
 
 import * as z from 'zod/mini';
 import type { ProcessKind } from './pluginRegistry.js';
 
-/** One key of a section. */
+/** Declaration of one key of a section. */
 export interface SettingDeclaration {
-	/** Checks and converts the text of the INI value. */
+	/** Validates and converts the text of the INI value. */
 	readonly schema: z.ZodMiniType;
-	/** What the value means, with its unit and what is allowed, in a sentence. */
+	/** One sentence on the meaning, unit and allowed values. */
 	readonly description: string;
-	/** Default, as written in the file; a key without one is required. */
+	/** Default, as the text in the file; a key without a default is required. */
 	readonly default?: string;
 }
 
-/** One section, or a family of named sections such as `[control.c1]`. */
+/** Declaration of a section, or of a group of named sections such as `[control.c1]`. */
 export interface SettingsSection {
 	readonly name: string;
-	/** Whether the section is repeated with a name of its own after a dot. */
+	/** Whether the section may occur several times, each time with a different name after a dot. */
 	readonly named: boolean;
-	/** Which processes have the section. */
+	/** The kinds of process that have the section. */
 	readonly kinds: readonly ProcessKind[];
 	readonly description: string;
 	readonly keys: Readonly<Record<string, SettingDeclaration>>;
@@ -31,13 +31,13 @@
 class SettingsRegistry {
 	private readonly _sections: SettingsSection[] = [];
 
-	/** Declares a section; call it at module level of the feature that reads it. */
+	/** Declares a section and returns it; to be called when the module that reads it is loaded. */
 	register<T extends SettingsSection>(section: T): T {
 		this._sections.push(section);
 		return section;
 	}
 
-	/** The sections that one kind of process has, in order of registration. */
+	/** The sections of one kind of process, in order of registration. */
 	sectionsFor(kind: ProcessKind): SettingsSection[] {
 		return this._sections.filter(section => section.kinds.includes(kind));
 	}
@@ -49,7 +49,7 @@
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$/;
 
 /** A name of an instance, hall, region, service or group. */
-export const nameSchema = z.string().check(z.regex(NAME_PATTERN, 'letters, digits, - and _, 63 at most'));
+export const nameSchema = z.string().check(z.regex(NAME_PATTERN, 'letters, digits, - and _, at most 63 characters'));
 
 const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
 const MAX_PORT = 65535;
@@ -63,20 +63,20 @@
 	if (!match) {
 		return false;
 	}
-	const octetsFit = match[1]!.split('.').every(octet => Number(octet) <= MAX_OCTET);
-	return octetsFit && Number(match[2]) <= MAX_PORT;
+	const areOctetsValid = match[1]!.split('.').every(octet => Number(octet) <= MAX_OCTET);
+	return areOctetsValid && Number(match[2]) <= MAX_PORT;
 }
 
-/** Addresses parted by commas; may be empty. */
+/** Comma-separated addresses; may be empty. */
 export const addressListSchema = listSchema(addressSchema);
 
-/** Values parted by commas; may be empty. */
+/** Comma-separated values; may be empty. */
 export function listSchema<T extends z.ZodMiniType<unknown, string>>(item: T) {
-	const parts = z.pipe(
+	const items = z.pipe(
 		z.string(),
 		z.transform(text => text.split(',').filter(part => part !== ''))
 	);
-	return z.pipe(parts, z.array(item));
+	return z.pipe(items, z.array(item));
 }
 
 /** `true` or `false`. */
@@ -85,13 +85,13 @@
 	z.transform(text => text === 'true')
 );
 
-/** A whole number from `min` to `max`, both allowed. */
+/** An integer from `min` to `max`, inclusive. */
 export function integerSchema(min: number, max: number): z.ZodMiniType<number> {
 	const message = `a whole number from ${min} to ${max}`;
 	return boundedSchema(z.string().check(z.regex(/^-?\d+$/, message)), min, max, message);
 }
 
-/** A number from `min` to `max`, both allowed. */
+/** A finite number from `min` to `max`, inclusive. */
 export function numberSchema(min: number, max: number): z.ZodMiniType<number> {
 	const message = `a number from ${min} to ${max}`;
 	const isNumber = (text: string): boolean => text.trim() !== '' && Number.isFinite(Number(text));
@@ -114,5 +114,5 @@
 	}
 }
 
-/** A path of a file or folder. */
+/** A non-empty path of a file or folder. */
 export const pathSchema = z.string().check(z.minLength(1, 'a path'));
