--- a/src/kernel/node/bodyTooLargeError.ts
+++ b/src/kernel/node/bodyTooLargeError.ts
@@ -2,9 +2,9 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The error of a body beyond its limit. */
+/** Error for request bodies that exceed their size limit. */
 
-/** A request whose body is larger than allowed. */
+/** The body of a request exceeds `limitBytes`. */
 export class BodyTooLargeError extends Error {
 	constructor(readonly limitBytes: number) {
 		super(`the body is larger than ${limitBytes} bytes`);
--- a/src/kernel/node/boundedOutput.ts
+++ b/src/kernel/node/boundedOutput.ts
@@ -2,51 +2,53 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Standard output that never holds the process up: a slow reader costs a bounded amount of memory, then lines. */
+/** Log output with a bounded buffer: when the reader is slow, lines are dropped instead of blocking the process. */
 
 import { Writable } from 'node:stream';
 
-/** Bytes that may wait for the reader; beyond that, lines are left out and counted. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/** Buffered bytes above which further lines are dropped and counted. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Where the bytes go; standard output, or a stand-in in tests. */
-export interface OutputTarget {
+/** Destination of the lines: standard output, or a fake in tests. */
+export interface OutputSink {
 	readonly writableLength: number;
 	readonly destroyed: boolean;
 	write(text: string): boolean;
 	on(event: 'error', listener: (error: Error) => void): unknown;
 }
 
-/** Writes lines to a target while it takes them. */
+/** Writes lines to a sink and drops them while its buffer is full or once it is closed. */
 export class BoundedOutput extends Writable {
-	private _leftOut = 0;
+	private _droppedLines = 0;
 	private _isClosed = false;
 
-	constructor(private readonly _target: OutputTarget) {
+	constructor(private readonly _sink: OutputSink) {
 		super({ decodeStrings: false });
-		// A reader that went away must not end the process.
-		_target.on('error', () => (this._isClosed = true));
+		// Without a listener, a closed pipe would terminate the process.
+		_sink.on('error', () => (this._isClosed = true));
 	}
 
-	/** Lines left out so far, for tests. */
-	get leftOut(): number {
-		return this._leftOut;
+	/** Lines dropped since the last line was written; for tests. */
+	get droppedLines(): number {
+		return this._droppedLines;
 	}
 
 	override _write(line: string | Buffer, _encoding: BufferEncoding, done: (error?: Error) => void): void {
-		this._pass(line.toString());
+		this._writeOrDrop(line.toString());
 		done();
 	}
 
-	private _pass(line: string): void {
-		if (this._isClosed || this._target.destroyed || this._target.writableLength > MAX_WAITING_BYTES) {
-			this._leftOut++;
+	private _writeOrDrop(line: string): void {
+		if (this._isClosed || this._sink.destroyed || this._sink.writableLength > MAX_BUFFERED_BYTES) {
+			this._droppedLines++;
 			return;
 		}
-		if (this._leftOut > 0) {
-			this._target.write(`${JSON.stringify({ level: 'warn', message: 'log lines left out', count: this._leftOut })}\n`);
-			this._leftOut = 0;
+		if (this._droppedLines > 0) {
+			this._sink.write(
+				`${JSON.stringify({ level: 'warn', message: 'log lines dropped', count: this._droppedLines })}\n`
+			);
+			this._droppedLines = 0;
 		}
-		this._target.write(line);
+		this._sink.write(line);
 	}
 }
--- a/src/kernel/node/durableFile.ts
+++ b/src/kernel/node/durableFile.ts
@@ -2,26 +2,26 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Files that are still there, whole, after a loss of power: what is not synced, names included, may be lost. */
+/** File writes that survive a power loss. File contents and directory entries are only durable after they are synced. */
 
 import { open, rename } from 'node:fs/promises';
 import { join } from 'node:path';
 
-/** Writes a new file beside the old one, syncs it and its folder, and puts it in place. */
+/** Replaces a file atomically and durably: after a crash it has either the old or the new content. */
 export async function replaceFile(folder: string, name: string, content: Uint8Array | string): Promise<void> {
-	const temporary = join(folder, `${name}.new`);
-	const handle = await open(temporary, 'w');
+	const temporaryPath = join(folder, `${name}.new`);
+	const handle = await open(temporaryPath, 'w');
 	try {
 		await handle.writeFile(content);
 		await handle.sync();
 	} finally {
 		await handle.close();
 	}
-	await rename(temporary, join(folder, name));
+	await rename(temporaryPath, join(folder, name));
 	await syncFolder(folder);
 }
 
-/** Syncs the names in a folder. */
+/** Makes the creation, renaming and removal of files in a folder durable. */
 export async function syncFolder(folder: string): Promise<void> {
 	const handle = await open(folder, 'r');
 	try {
--- a/src/kernel/node/httpListener.ts
+++ b/src/kernel/node/httpListener.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** HTTP listeners through `polka`, with limits, and the pages that every listener has. */
+/** HTTP listeners based on `polka`, with limits and the endpoints that all listeners have: `/healthz`, `/readyz` and `/metrics`. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { createServer as createTlsServer } from 'node:https';
@@ -17,41 +17,44 @@
 const HEADERS_TIMEOUT_MS = 10000;
 const REQUEST_TIMEOUT_MS = 60000;
 const KEEP_ALIVE_TIMEOUT_MS = 30000;
-const CLOSE_POLL_MS = 50;
+const DRAIN_POLL_MS = 50;
 
 /** A parsed request. */
 export type HttpRequest = polka.Request;
-/** The answer to it. */
+/** The response to a request. */
 export type HttpResponse = ServerResponse;
-/** Handles a request; what it throws becomes an answer with status 500. */
+/**
+ * Handles a request. `BodyTooLargeError` results in status 413, any other error in status 500; after the headers are sent,
+ * an error closes the connection.
+ */
 export type HttpHandler = (request: HttpRequest, response: HttpResponse) => void | Promise<void>;
 
-/** Certificate and key of a TLS listener. */
-export interface HttpTls {
+/** Paths of the PEM certificate and private key of a TLS listener. */
+export interface TlsFiles {
 	readonly certificateFile: string;
 	readonly keyFile: string;
 }
 
-/** What a listener needs. */
+/** Options of a listener. */
 export interface HttpListenerOptions {
-	/** IPv4 address and port; port 0 lets the system choose. */
+	/** IPv4 address and port; port 0 lets the operating system choose one. */
 	readonly address: string;
 	readonly maxConnections: number;
 	readonly metrics: IMetricsService;
-	/** Whether the process may be given work; its answer is `/readyz`. */
+	/** Whether the process accepts work; determines the response of `/readyz`. */
 	isReady(): boolean;
-	/** Called with what a handler threw. */
+	/** Called with the errors of handlers that result in status 500. */
 	onError(error: Error): void;
-	readonly tls?: HttpTls;
+	readonly tls?: TlsFiles;
 }
 
-/** One HTTP listener. */
+/** An HTTP or HTTPS listener. */
 export class HttpListener extends Disposable {
 	private readonly _server: Server;
-	private readonly _idle: IdleConnections;
+	private readonly _connections: IdleConnections;
 	private readonly _app: polka.Polka;
 	private _inFlight = 0;
-	private _closing = false;
+	private _isDraining = false;
 
 	constructor(private readonly _options: HttpListenerOptions) {
 		super();
@@ -60,41 +63,41 @@
 		this._server = tls
 			? createTlsServer({ ...limits, cert: readFileSync(tls.certificateFile), key: readFileSync(tls.keyFile) })
 			: createServer(limits);
-		this._idle = new IdleConnections(this._server);
+		this._connections = new IdleConnections(this._server);
 		this._server.headersTimeout = HEADERS_TIMEOUT_MS;
 		this._server.requestTimeout = REQUEST_TIMEOUT_MS;
 		this._server.maxConnections = _options.maxConnections;
-		this._server.on('request', (request, response) => this._count(request, response));
+		this._server.on('request', (request, response) => this._trackRequest(request, response));
 		this._server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
 			if (socket.writable) {
-				socket.end(clientErrorAnswer(error));
+				socket.end(formatClientError(error));
 			} else {
 				socket.destroy();
 			}
 		});
 		this._app = polka({
 			server: this._server,
-			onError: (error, _request, response) => this._fail(response, error as Error),
+			onError: (error, _request, response) => this._sendError(response, error as Error),
 			onNoMatch: (_request, response) => {
 				sendJson(response, 404, { code: 'not-found', message: 'there is no such page', verdict: 'not-run' });
 			}
 		});
-		this._addCommonPages();
+		this._addCommonEndpoints();
 		this._register(toDisposable(() => this._server.close()));
 		this._register(toDisposable(() => this._server.closeAllConnections()));
 	}
 
-	/** Handles requests of one method and pattern. */
+	/** Registers the handler of one method and path pattern. */
 	on(method: 'GET' | 'POST' | 'PUT' | 'DELETE', pattern: string, handler: HttpHandler): void {
-		this._app.add(method, pattern, this._guard(handler));
+		this._app.add(method, pattern, this._catchErrors(handler));
 	}
 
-	/** Handles requests of any method under a pattern. */
+	/** Registers the handler of a path pattern for all methods. */
 	onAll(pattern: string, handler: HttpHandler): void {
-		this._app.all(pattern, this._guard(handler));
+		this._app.all(pattern, this._catchErrors(handler));
 	}
 
-	/** Opens the listener; returns its address with the port in use. */
+	/** Starts listening; resolves to the address with the actual port. */
 	async listen(): Promise<string> {
 		const [host, port] = this._options.address.split(':');
 		await new Promise<void>((resolve, reject) => {
@@ -105,23 +108,23 @@
 		return `${host}:${bound.port}`;
 	}
 
-	/** Requests whose answer is not finished. */
+	/** Number of requests whose responses are not closed yet. */
 	get inFlight(): number {
 		return this._inFlight;
 	}
 
-	/** Takes no new connections and resolves when all answers are finished. */
+	/** Stops accepting connections and resolves when all responses are closed. */
 	async finish(): Promise<void> {
-		this._closing = true;
-		this._idle.stopListening();
-		this._idle.close();
+		this._isDraining = true;
+		this._connections.stopListening();
+		this._connections.close();
 		while (this._inFlight > 0) {
-			await new Promise(resolve => setTimeout(resolve, CLOSE_POLL_MS));
-			this._idle.close();
+			await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_MS));
+			this._connections.close();
 		}
 	}
 
-	private _addCommonPages(): void {
+	private _addCommonEndpoints(): void {
 		this.on('GET', '/healthz', (_request, response) => sendJson(response, 200, { healthy: true }));
 		this.on('GET', '/readyz', (_request, response) => {
 			const ready = this._options.isReady();
@@ -134,29 +137,29 @@
 		});
 	}
 
-	private _count(_request: IncomingMessage, response: ServerResponse): void {
+	private _trackRequest(_request: IncomingMessage, response: ServerResponse): void {
 		this._inFlight++;
-		if (this._closing) {
+		if (this._isDraining) {
 			response.setHeader('Connection', 'close');
 		}
 		response.once('close', () => this._inFlight--);
 	}
 
-	private _guard(handler: HttpHandler) {
+	private _catchErrors(handler: HttpHandler) {
 		return (request: unknown, response: unknown): void => {
-			const answer = response as HttpResponse;
+			const httpResponse = response as HttpResponse;
 			try {
-				const result = handler(request as HttpRequest, answer);
+				const result = handler(request as HttpRequest, httpResponse);
 				if (result) {
-					result.catch((error: Error) => this._fail(answer, error));
+					result.catch((error: Error) => this._sendError(httpResponse, error));
 				}
 			} catch (error) {
-				this._fail(answer, error as Error);
+				this._sendError(httpResponse, error as Error);
 			}
 		};
 	}
 
-	private _fail(response: HttpResponse, error: Error): void {
+	private _sendError(response: HttpResponse, error: Error): void {
 		if (response.headersSent) {
 			response.destroy();
 			return;
@@ -173,7 +176,7 @@
 	}
 }
 
-/** Answers with a JSON body. */
+/** Sends a response with a JSON body. */
 export function sendJson(response: HttpResponse, status: number, body: unknown): void {
 	const text = JSON.stringify(body);
 	response.statusCode = status;
@@ -182,17 +185,25 @@
 	response.end(text);
 }
 
-function clientErrorAnswer(error: NodeJS.ErrnoException): string {
+function formatClientError(error: NodeJS.ErrnoException): string {
 	if (error.code === 'HPE_HEADER_OVERFLOW') {
-		return rawAnswer('431 Request Header Fields Too Large', 'headers-too-large', `${MAX_HEADER_BYTES} bytes at most`);
+		return formatRawResponse(
+			'431 Request Header Fields Too Large',
+			'headers-too-large',
+			`${MAX_HEADER_BYTES} bytes at most`
+		);
 	}
 	if (error.code === 'ERR_HTTP_REQUEST_TIMEOUT') {
-		return rawAnswer('408 Request Timeout', 'request-timeout', `the whole request within ${REQUEST_TIMEOUT_MS} ms`);
+		return formatRawResponse(
+			'408 Request Timeout',
+			'request-timeout',
+			`the whole request within ${REQUEST_TIMEOUT_MS} ms`
+		);
 	}
-	return rawAnswer('400 Bad Request', 'bad-request', 'a request by HTTP/1.1');
+	return formatRawResponse('400 Bad Request', 'bad-request', 'a request by HTTP/1.1');
 }
 
-function rawAnswer(status: string, code: string, allowed: string): string {
+function formatRawResponse(status: string, code: string, allowed: string): string {
 	const body = JSON.stringify({
 		code,
 		message: `not a request that can be read; allowed: ${allowed}`,
--- a/src/kernel/node/httpPeerCalls.ts
+++ b/src/kernel/node/httpPeerCalls.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Calls between processes over HTTP/1.1 of Node.js with MessagePack bodies, for machines on which memory and start time
- * are dear: gRPC and its kin HTTP/2 of Node.js were measured and left (docs/design/platform.md).
+ * Peer calls over HTTP/1.1 with MessagePack bodies. On small machines they are used instead of gRPC and HTTP/2, which need
+ * more memory and start more slowly (docs/design/platform.md).
  */
 
 import { Agent, createServer, type IncomingMessage, request as httpRequest, type ServerResponse } from 'node:http';
@@ -12,41 +12,42 @@
 import type { IPeerCalls } from '../common/peerCalls.js';
 import type { UnaryMethod } from '../common/peerMethods.js';
 import type { InstanceSettings } from './instanceSettings.js';
-import { decodeMessage, type EncodedMessage, encodeMessage, MAX_MESSAGE_BYTES } from './messageCoding.js';
+import { decodeMessage, type EncodedMessage, encodeMessage, MAX_MESSAGE_BYTES } from './messageCodec.js';
 import { ISettingsService } from './settingsService.js';
 
 const MAX_IDLE_SOCKETS = 8;
-/** A connection that rested this long is closed by the caller, well before the other side does. */
-const CALLER_IDLE_MS = 20000;
-const SERVER_IDLE_MS = 60000;
+/** Less than {@link SERVER_KEEP_ALIVE_TIMEOUT_MS}, so that no call is sent on a connection that the server is closing. */
+const CLIENT_IDLE_TIMEOUT_MS = 20000;
+const SERVER_KEEP_ALIVE_TIMEOUT_MS = 60000;
 const STATUS_OK = 200;
 const STATUS_UNKNOWN_METHOD = 404;
 const STATUS_FAILED = 500;
 
-type Handler = (request: unknown) => Promise<unknown>;
+type CallHandler = (request: unknown) => Promise<unknown>;
 
-/** A peer answered that the call failed. */
+/** A peer call failed: an error response, a lost connection, a timeout or a malformed response. */
 export class PeerCallError extends Error {
-	constructor(path: string, address: string, what: string) {
-		super(`${path} at ${address}: ${what}`);
+	constructor(path: string, address: string, reason: string) {
+		super(`${path} at ${address}: ${reason}`);
 		this.name = 'PeerCallError';
 	}
 }
 
-function readAll(message: IncomingMessage, done: (body: Buffer) => void): void {
-	const pieces: Buffer[] = [];
-	let size = 0;
-	message.on('data', (piece: Buffer) => {
-		size += piece.length;
-		if (size > MAX_MESSAGE_BYTES) {
+/** Reads a body; destroys a message that exceeds the size limit, and does not call `onBody` for one that is incomplete. */
+function readMessageBody(message: IncomingMessage, onBody: (body: Buffer) => void): void {
+	const chunks: Buffer[] = [];
+	let sizeBytes = 0;
+	message.on('data', (chunk: Buffer) => {
+		sizeBytes += chunk.length;
+		if (sizeBytes > MAX_MESSAGE_BYTES) {
 			message.destroy();
 			return;
 		}
-		pieces.push(piece);
+		chunks.push(chunk);
 	});
 	message.on('end', () => {
 		if (message.complete) {
-			done(pieces.length === 1 ? pieces[0]! : Buffer.concat(pieces));
+			onBody(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks));
 		}
 	});
 }
@@ -58,25 +59,29 @@
 	}
 }
 
-/** Peer calls over `node:http`. */
+/** Serves and makes peer calls with `node:http`. */
 export class HttpPeerCalls extends Disposable implements IPeerCalls {
-	private readonly _handlers = new Map<string, Handler>();
-	private readonly _agent = new Agent({ keepAlive: true, maxFreeSockets: MAX_IDLE_SOCKETS, timeout: CALLER_IDLE_MS });
-	private readonly _server = createServer({ keepAliveTimeout: SERVER_IDLE_MS });
+	private readonly _handlers = new Map<string, CallHandler>();
+	private readonly _agent = new Agent({
+		keepAlive: true,
+		maxFreeSockets: MAX_IDLE_SOCKETS,
+		timeout: CLIENT_IDLE_TIMEOUT_MS
+	});
+	private readonly _server = createServer({ keepAliveTimeout: SERVER_KEEP_ALIVE_TIMEOUT_MS });
 	private readonly _listenAddress: string;
 
 	constructor(@ISettingsService settings: ISettingsService) {
 		super();
 		this._listenAddress = settings.section<InstanceSettings>('instance').peerAddress;
 		this._server.requestTimeout = 0;
-		this._server.on('request', (request, response) => this._serve(request, response));
+		this._server.on('request', (request, response) => this._onRequest(request, response));
 		this._register(toDisposable(() => this._server.closeAllConnections()));
 		this._register(toDisposable(() => this._server.close()));
 		this._register(toDisposable(() => this._agent.destroy()));
 	}
 
 	handleUnary<Q, S>(method: UnaryMethod<Q, S>, handler: (request: Q) => Promise<S>): void {
-		this._handlers.set(method.path, handler as Handler);
+		this._handlers.set(method.path, handler as CallHandler);
 	}
 
 	async listen(): Promise<string> {
@@ -94,57 +99,57 @@
 		const { path } = method;
 		return new Promise<S>((resolve, reject) => {
 			const { body, headers } = encodeMessage(request);
-			const sent = httpRequest({ agent: this._agent, method: 'POST', host, port, path, headers });
+			const clientRequest = httpRequest({ agent: this._agent, method: 'POST', host, port, path, headers });
 			const timer = setTimeout(() => {
-				reject(new PeerCallError(path, address, `no answer within ${timeoutMs} ms`));
-				sent.destroy();
+				reject(new PeerCallError(path, address, `no response within ${timeoutMs} ms`));
+				clientRequest.destroy();
 			}, timeoutMs);
-			const fail = (what: string): void => {
+			const fail = (reason: string): void => {
 				clearTimeout(timer);
-				reject(new PeerCallError(path, address, what));
+				reject(new PeerCallError(path, address, reason));
 			};
-			sent.on('error', error => fail(error.message));
-			sent.on('close', () => fail('cut off'));
-			sent.on('response', response => {
+			clientRequest.on('error', error => fail(error.message));
+			clientRequest.on('close', () => fail('connection closed before the response was complete'));
+			clientRequest.on('response', response => {
 				response.on('error', error => fail(error.message));
-				readAll(response, answer => {
+				readMessageBody(response, responseBody => {
 					if (response.statusCode !== STATUS_OK) {
-						fail(`${response.statusCode} ${answer.toString('utf8')}`);
+						fail(`${response.statusCode} ${responseBody.toString('utf8')}`);
 						return;
 					}
 					clearTimeout(timer);
 					try {
-						resolve(decodeMessage(answer, response.headers['content-encoding']) as S);
+						resolve(decodeMessage(responseBody, response.headers['content-encoding']) as S);
 					} catch (error) {
-						fail(`unreadable answer: ${(error as Error).message}`);
+						fail(`malformed response: ${(error as Error).message}`);
 					}
 				});
 			});
-			sent.end(body);
+			clientRequest.end(body);
 		});
 	}
 
-	private _serve(request: IncomingMessage, response: ServerResponse): void {
+	private _onRequest(request: IncomingMessage, response: ServerResponse): void {
 		request.on('error', () => response.destroy());
-		readAll(request, body => void this._answer(request, body, response));
+		readMessageBody(request, body => void this._handleCall(request, body, response));
 	}
 
-	private async _answer(request: IncomingMessage, body: Buffer, response: ServerResponse): Promise<void> {
+	private async _handleCall(request: IncomingMessage, body: Buffer, response: ServerResponse): Promise<void> {
 		const handler = this._handlers.get(request.url ?? '');
 		if (!handler) {
 			sendText(response, STATUS_UNKNOWN_METHOD, 'unknown method');
 			return;
 		}
-		let answer: EncodedMessage;
+		let encodedResponse: EncodedMessage;
 		try {
-			answer = encodeMessage(await handler(decodeMessage(body, request.headers['content-encoding'])));
+			encodedResponse = encodeMessage(await handler(decodeMessage(body, request.headers['content-encoding'])));
 		} catch (error) {
 			sendText(response, STATUS_FAILED, (error as Error).message);
 			return;
 		}
 		if (!response.destroyed) {
-			response.writeHead(STATUS_OK, answer.headers);
-			response.end(answer.body);
+			response.writeHead(STATUS_OK, encodedResponse.headers);
+			response.end(encodedResponse.body);
 		}
 	}
 }
--- a/src/kernel/node/idleConnections.ts
+++ b/src/kernel/node/idleConnections.ts
@@ -3,51 +3,51 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Closes the connections of an HTTP server on which nothing is under way, before a planned stop. The server's own
- * `closeIdleConnections` takes an answer for done once the program has ended it, and cuts off what still waits for the link.
+ * Closes the idle connections of an HTTP server during a graceful shutdown. `Server.closeIdleConnections` treats a
+ * connection as idle once the response was ended, even if part of it is still buffered, and so truncates responses.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { Server as TcpServer, type Socket } from 'node:net';
 import { Server as TlsServer } from 'node:tls';
 
-/** The connections of one server, by whether an answer is on its way. */
+/** Tracks the connections of a server and whether a response is in progress on them. */
 export class IdleConnections {
-	private readonly _open = new Set<Socket>();
-	private readonly _busy = new Set<Socket>();
+	private readonly _openSockets = new Set<Socket>();
+	private readonly _busySockets = new Set<Socket>();
 
-	/** @param _server one that has no connections yet */
+	/** @param _server must not have any connections yet */
 	constructor(private readonly _server: Server) {
-		// Behind TLS a request names the encrypted socket, which comes with an event of its own.
+		// For TLS servers, `request.socket` is the TLS socket, which is passed to `secureConnection` only.
 		const event = _server instanceof TlsServer ? 'secureConnection' : 'connection';
-		_server.on(event, (socket: Socket) => this._follow(socket));
+		_server.on(event, (socket: Socket) => this._trackSocket(socket));
 		_server.prependListener('request', (request: IncomingMessage, response: ServerResponse) => {
 			const { socket } = request;
-			this._busy.add(socket);
-			response.once('close', () => this._busy.delete(socket));
+			this._busySockets.add(socket);
+			response.once('close', () => this._busySockets.delete(socket));
 		});
 	}
 
-	/** Takes no new connections; those that are there stay, also idle ones. */
+	/** Stops accepting connections; existing ones stay open, including idle ones. */
 	stopListening(): void {
-		// The HTTP server's own `close` would close connections that it takes for idle.
+		// `close` of the HTTP server would also call `closeIdleConnections`.
 		TcpServer.prototype.close.call(this._server);
 	}
 
-	/** Closes the connections on which no answer is on its way. */
+	/** Closes the connections that have no response in progress. */
 	close(): void {
-		for (const socket of this._open) {
-			if (!this._busy.has(socket) && socket.writableLength === 0) {
+		for (const socket of this._openSockets) {
+			if (!this._busySockets.has(socket) && socket.writableLength === 0) {
 				socket.destroy();
 			}
 		}
 	}
 
-	private _follow(socket: Socket): void {
-		this._open.add(socket);
+	private _trackSocket(socket: Socket): void {
+		this._openSockets.add(socket);
 		socket.once('close', () => {
-			this._open.delete(socket);
-			this._busy.delete(socket);
+			this._openSockets.delete(socket);
+			this._busySockets.delete(socket);
 		});
 	}
 }
--- a/src/kernel/node/instanceSettings.ts
+++ b/src/kernel/node/instanceSettings.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The settings that every process has: who and where it is, and the control instances it knows. */
+/** Settings of all instances: identity, location, control instances and TLS. */
 
 import * as z from 'zod/mini';
 import { ProcessKind } from '../common/pluginRegistry.js';
@@ -16,7 +16,7 @@
 } from '../common/settingsRegistry.js';
 import { type ISettingsService, registerCrossCheck, type SettingsFault } from './settingsService.js';
 
-const BOTH = [ProcessKind.Control, ProcessKind.Entry];
+const INSTANCE_KINDS = [ProcessKind.Control, ProcessKind.Entry];
 
 /** Section `[instance]`. */
 export interface InstanceSettings {
@@ -35,19 +35,19 @@
 
 /** Section `[discovery]`. */
 export interface DiscoverySettings {
-	/** Addresses of some control instances; empty when they are listed in sections of their own. */
+	/** Addresses of some control instances; empty if they are listed in `[control.NAME]` sections. */
 	readonly seeds: readonly string[];
-	/** Whether the whole system starts for the first time, on empty disks. */
+	/** Whether the whole system is started for the first time, with empty disks. */
 	readonly firstStart: boolean;
 }
 
-/** The peer addresses of the seeds: where members are learned, all instances use one peer port. */
+/** Peer addresses of the seeds; with discovery, all instances use the same peer port. */
 export function seedPeerAddresses(discovery: DiscoverySettings, ownPeerAddress: string): string[] {
 	const port = ownPeerAddress.split(':')[1];
 	return discovery.seeds.map(seed => `${seed.split(':')[0]}:${port}`);
 }
 
-/** Section `[tls]`; empty paths mean that the part is off. */
+/** Section `[tls]`; all paths are empty if TLS is disabled. */
 export interface TlsSettings {
 	readonly certificateFile: string;
 	readonly keyFile: string;
@@ -57,19 +57,20 @@
 settingsRegistry.register({
 	name: 'instance',
 	named: false,
-	kinds: BOTH,
-	description: 'Who and where this instance is.',
+	kinds: INSTANCE_KINDS,
+	description: 'Identity and location of this instance.',
 	keys: {
 		name: { schema: nameSchema, description: 'Name of this instance, unique in the system.' },
-		hall: { schema: nameSchema, description: 'Data hall the instance stands in.' },
+		hall: { schema: nameSchema, description: 'Data hall of this instance.' },
 		region: { schema: nameSchema, description: 'Region of the data hall.' },
 		peerAddress: {
 			schema: addressSchema,
-			description: 'IPv4 address and port for the other processes of the system; port 0 lets the system choose.'
+			description:
+				'IPv4 address and port of the listener for other instances; port 0 lets the operating system choose one.'
 		},
 		logLevel: {
 			schema: z.enum(['debug', 'info', 'warn', 'error'], 'debug, info, warn or error'),
-			description: 'Least level that is logged: debug, info, warn or error.',
+			description: 'Minimum level of log lines: debug, info, warn or error.',
 			default: 'info'
 		}
 	}
@@ -78,28 +79,28 @@
 settingsRegistry.register({
 	name: 'control',
 	named: true,
-	kinds: BOTH,
-	description: 'One section for each control instance, this one included.',
+	kinds: INSTANCE_KINDS,
+	description: 'One section for each control instance, including this one.',
 	keys: {
-		address: { schema: addressSchema, description: 'IPv4 address and port of its peer listener.' },
-		hall: { schema: nameSchema, description: 'Data hall it stands in.' }
+		address: { schema: addressSchema, description: 'IPv4 address and port of its listener for other instances.' },
+		hall: { schema: nameSchema, description: 'Data hall of the control instance.' }
 	}
 });
 
 settingsRegistry.register({
 	name: 'discovery',
 	named: false,
-	kinds: BOTH,
-	description: 'How control instances are found where they are not listed in sections [control.NAME].',
+	kinds: INSTANCE_KINDS,
+	description: 'Discovery of control instances that are not listed in [control.NAME] sections.',
 	keys: {
 		seeds: {
 			schema: addressListSchema,
-			description: 'Addresses of some control instances, parted by commas; their peer port is that of this instance.',
+			description: 'Comma-separated addresses of some control instances; they use the peer port of this instance.',
 			default: ''
 		},
 		firstStart: {
 			schema: booleanSchema,
-			description: 'Whether the whole system starts for the first time, on empty disks: true or false.',
+			description: 'Whether the whole system is started for the first time, with empty disks: true or false.',
 			default: 'false'
 		}
 	}
@@ -108,16 +109,20 @@
 settingsRegistry.register({
 	name: 'tls',
 	named: false,
-	kinds: BOTH,
-	description: 'Mutual TLS between the processes; all three files or none.',
+	kinds: INSTANCE_KINDS,
+	description: 'Mutual TLS between instances; either all three files are set or none.',
 	keys: {
 		certificateFile: { schema: z.string(), description: 'PEM certificate of this instance.', default: '' },
 		keyFile: { schema: z.string(), description: 'PEM private key of this instance.', default: '' },
-		authorityFile: { schema: z.string(), description: 'PEM certificates that peers are checked by.', default: '' }
+		authorityFile: {
+			schema: z.string(),
+			description: 'PEM certificates of the authorities that peers are verified against.',
+			default: ''
+		}
 	}
 });
 
-function findEqualAddresses(settings: ISettingsService): SettingsFault[] {
+function findDuplicateAddresses(settings: ISettingsService): SettingsFault[] {
 	const owners = new Map<string, string>();
 	const faults: SettingsFault[] = [];
 	for (const [name, peer] of settings.namedSections<ControlPeerSettings>('control')) {
@@ -144,18 +149,18 @@
 	];
 }
 
-function findHalfTls(settings: ISettingsService): SettingsFault[] {
+function findIncompleteTls(settings: ISettingsService): SettingsFault[] {
 	const tls = settings.section<TlsSettings>('tls');
-	const given = [tls.certificateFile, tls.keyFile, tls.authorityFile].filter(path => path !== '').length;
-	if (given === 0 || given === 3) {
+	const givenCount = [tls.certificateFile, tls.keyFile, tls.authorityFile].filter(path => path !== '').length;
+	if (givenCount === 0 || givenCount === 3) {
 		return [];
 	}
 	return [{ section: 'tls', message: 'certificateFile, keyFile and authorityFile are needed together' }];
 }
 
-registerCrossCheck(BOTH, findMissingControl);
-registerCrossCheck(BOTH, findEqualAddresses);
-registerCrossCheck(BOTH, findHalfTls);
+registerCrossCheck(INSTANCE_KINDS, findMissingControl);
+registerCrossCheck(INSTANCE_KINDS, findDuplicateAddresses);
+registerCrossCheck(INSTANCE_KINDS, findIncompleteTls);
 registerCrossCheck([ProcessKind.Control], settings => {
 	const instance = settings.section<InstanceSettings>('instance');
 	if (settings.section<DiscoverySettings>('discovery').seeds.length > 0) {
@@ -173,5 +178,5 @@
 	return [];
 });
 
-/** Schema of the data folder, kept here for the control process alone. */
+/** Schema of the data folder of a control instance. */
 export const dataFolderSchema = pathSchema;
--- a/src/kernel/node/logService.ts
+++ b/src/kernel/node/logService.ts
@@ -2,13 +2,13 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Logs: JSON lines on standard output through `winston`. */
+/** Logging: JSON lines on standard output, written by `winston`. */
 
 import winston from 'winston';
 import { BoundedOutput } from './boundedOutput.js';
 import { createServiceIdentifier } from '../common/serviceIdentifier.js';
 
-/** Fields that say what a line is about. */
+/** Structured fields of a log line. */
 export interface LogFields {
 	readonly task?: string;
 	readonly revision?: number;
@@ -16,7 +16,7 @@
 	readonly [field: string]: unknown;
 }
 
-/** Writes log lines; a token or a body never goes into one. */
+/** Writes log lines; tokens and bodies must not be logged. */
 export interface ILogService {
 	debug(message: string, fields?: LogFields): void;
 	info(message: string, fields?: LogFields): void;
@@ -27,7 +27,7 @@
 /** Identifier of the log service. */
 export const ILogService = createServiceIdentifier<ILogService>('logService');
 
-/** Creates the log of a process; `context` (instance, hall, region) stands on every line. */
+/** Creates the log of a process; the fields of `context` are added to every line. */
 export function createLog(level: string, context: LogFields): ILogService {
 	return winston.createLogger({
 		level,
--- a/src/kernel/node/metricsListener.ts
+++ b/src/kernel/node/metricsListener.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Serves the figures of a process, and the pages that features add, at an address of their own, where the settings name one. */
+/** Serves the metrics and the admin endpoints of a process on a separate listener, if the settings have an address for it. */
 
 import * as z from 'zod/mini';
 import { Disposable } from '../../base/disposable.js';
@@ -14,31 +14,31 @@
 import { IProcessPages } from './processPages.js';
 import { ISettingsService } from './settingsService.js';
 
-const BOTH = [ProcessKind.Control, ProcessKind.Entry];
+const INSTANCE_KINDS = [ProcessKind.Control, ProcessKind.Entry];
 const MAX_CONNECTIONS = 20;
 
 settingsRegistry.register({
 	name: 'metrics',
 	named: false,
-	kinds: BOTH,
-	description: 'Where the figures of the process are served, at /metrics.',
+	kinds: INSTANCE_KINDS,
+	description: 'Listener for metrics, at /metrics, and for admin endpoints.',
 	keys: {
 		address: {
 			schema: z.union([z.literal(''), addressSchema], 'empty, or an IPv4 address and port'),
-			description: 'IPv4 address and port; empty for none.',
+			description: 'IPv4 address and port; empty to disable the listener.',
 			default: ''
 		}
 	}
 });
 
-/** The listener for figures. */
+/** Listener for metrics and admin endpoints. */
 export class MetricsListener extends Disposable {
 	private readonly _listener?: HttpListener;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IMetricsService metrics: IMetricsService,
-		@IProcessPages private readonly _pages: IProcessPages,
+		@IProcessPages private readonly _endpoints: IProcessPages,
 		@ILogService log: ILogService
 	) {
 		super();
@@ -52,16 +52,16 @@
 				maxConnections: MAX_CONNECTIONS,
 				metrics,
 				isReady: () => true,
-				onError: error => log.error('page failed', { task: 'metrics', error: error.message })
+				onError: error => log.error('metrics listener request failed', { task: 'metrics', error: error.message })
 			})
 		);
 	}
 
-	/** Opens the listener. */
+	/** Registers the admin endpoints added so far and starts listening. */
 	async start(): Promise<void> {
-		this._pages.all.forEach(({ method, pattern, handler }) => this._listener?.on(method, pattern, handler));
+		this._endpoints.all.forEach(({ method, pattern, handler }) => this._listener?.on(method, pattern, handler));
 		await this._listener?.listen();
 	}
 }
 
-pluginRegistry.registerContribution(BOTH, ContributionPhase.Port, MetricsListener);
+pluginRegistry.registerContribution(INSTANCE_KINDS, ContributionPhase.Port, MetricsListener);
--- a/src/kernel/node/metricsService.ts
+++ b/src/kernel/node/metricsService.ts
@@ -2,12 +2,12 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Metrics of the process through `prom-client`; names and labels are listed in docs/METRICS.md. */
+/** Metrics of the process, based on `prom-client`; names and labels are listed in docs/METRICS.md. */
 
 import { Registry, collectDefaultMetrics } from 'prom-client';
 import { createServiceIdentifier } from '../common/serviceIdentifier.js';
 
-/** The registry that `/metrics` prints. */
+/** Holds the registry that is served at `/metrics`. */
 export interface IMetricsService {
 	readonly registry: Registry;
 }
@@ -15,7 +15,7 @@
 /** Identifier of the metrics service. */
 export const IMetricsService = createServiceIdentifier<IMetricsService>('metricsService');
 
-/** The metrics of this process, the runtime's own included. */
+/** Metrics registry of this process; includes the default metrics of Node.js. */
 export class MetricsService implements IMetricsService {
 	readonly registry = new Registry();
 
--- a/src/kernel/node/peerWire.ts
+++ b/src/kernel/node/peerWire.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Calls between processes: gRPC with MessagePack bodies; each feature declares its methods with types. */
+/** Calls and streams between processes over gRPC with MessagePack bodies. */
 
 import { readFileSync } from 'node:fs';
 import * as grpc from '@grpc/grpc-js';
@@ -20,21 +20,21 @@
 const MAX_RECONNECT_MS = 500;
 const MIN_RECONNECT_MS = 50;
 
-/** The server's side of a stream. */
+/** Server side of a stream. */
 export type ServerStream<Request, Response> = grpc.ServerDuplexStream<Request, Response>;
-/** The client's side of a stream. */
+/** Client side of a stream. */
 export type ClientStream<Request, Response> = grpc.ClientDuplexStream<Request, Response>;
 
-/** Calls and streams between the processes of the system. */
+/** Transport for calls and streams between the processes of the system. */
 export interface IPeerWire extends IPeerCalls {
-	/** Registers the handler of a stream; only before {@link listen}. */
+	/** Registers the handler of a streaming method; must be called before {@link listen}. */
 	handleStream<Q, S>(method: StreamMethod<Q, S>, handler: (stream: ServerStream<Q, S>) => void): void;
-	/** Opens a stream to a peer. */
+	/** Opens a stream to a peer; connection errors are reported on the stream. */
 	openStream<Q, S>(address: string, method: StreamMethod<Q, S>): ClientStream<Q, S>;
 }
 
-/** Identifier of the peer wire. */
-export const IPeerWire = createServiceIdentifier<IPeerWire>('peerWire');
+/** Identifier of the peer transport. */
+export const IPeerWire = createServiceIdentifier<IPeerWire>('peerTransport');
 
 function serialize(message: unknown): Buffer {
 	const bytes = encode(message, { ignoreUndefined: true });
@@ -57,7 +57,7 @@
 	'grpc.use_local_subchannel_pool': 1
 };
 
-/** Peer wire over `@grpc/grpc-js`. */
+/** Peer transport based on `@grpc/grpc-js`. */
 export class GrpcPeerWire extends Disposable implements IPeerWire {
 	private readonly _server = new grpc.Server(CHANNEL_OPTIONS);
 	private readonly _clients = new Map<string, grpc.Client>();
--- a/src/kernel/node/processHost.ts
+++ b/src/kernel/node/processHost.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Runs a process from its settings: services, contributions, planned stop. */
+/** Runs a process: loads its settings, creates its services, starts its contributions and shuts them down on a signal. */
 
 import { watchFile } from 'node:fs';
 import { parseArgs } from 'node:util';
@@ -14,15 +14,15 @@
 import { createLog, ILogService } from './logService.js';
 import { IMetricsService, MetricsService } from './metricsService.js';
 import { IProcessPages, ProcessPages } from './processPages.js';
-import { ISettingsService, printDefaults, readSettings, SettingsError } from './settingsService.js';
+import { ISettingsService, formatDefaultSettings, readSettings, SettingsError } from './settingsService.js';
 
-const EXIT_BAD_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 const EXIT_FAILED = 1;
 const SETTINGS_POLL_MS = 2000;
-/** Names the settings file when the command line does not. */
-const SETTINGS_VARIABLE = 'SHELFFIELD_SETTINGS';
+/** Environment variable with the path of the settings file, used if the command line has none. */
+const SETTINGS_ENVIRONMENT_VARIABLE = 'SHELFFIELD_SETTINGS';
 
-/** Provides the calls between processes, by the transport that a binary chooses. */
+/** Registers the peer transport of a binary. */
 export type TransportProvider = (services: InstantiationService) => void;
 
 function createServices(
@@ -50,12 +50,12 @@
 }
 
 function stopOnSignal(contributions: IContribution[], services: InstantiationService, log: ILogService): void {
-	let stopping = false;
+	let isStopping = false;
 	const stop = (signal: string): void => {
-		if (stopping) {
+		if (isStopping) {
 			process.exit(EXIT_FAILED);
 		}
-		stopping = true;
+		isStopping = true;
 		log.info('stopping', { task: 'host', signal });
 		void drainAll(contributions, log).then(() => {
 			services.dispose();
@@ -66,14 +66,17 @@
 	process.on('SIGINT', () => stop('SIGINT'));
 }
 
-/** Takes over a settings file that has changed, on SIGHUP or when its time of change does; a faulty one changes nothing. */
-function followSettings(file: string, kind: ProcessKind, settings: ISettingsService, log: ILogService): void {
+/** Reloads the settings on SIGHUP or when the modification time of the file changes; an invalid file is ignored. */
+function watchSettingsFile(file: string, kind: ProcessKind, settings: ISettingsService, log: ILogService): void {
 	const reload = (): void => {
 		try {
 			const changed = settings.reload(readSettings(file, kind));
 			log.info('settings reloaded', { task: 'host', changed });
 		} catch (error) {
-			log.error('settings kept as they were', { task: 'host', error: (error as Error).message });
+			log.error('settings not reloaded; previous settings stay in effect', {
+				task: 'host',
+				error: (error as Error).message
+			});
 		}
 	};
 	process.on('SIGHUP', reload);
@@ -88,11 +91,11 @@
 			throw error;
 		}
 		process.stderr.write(`${error.message}\n`);
-		process.exit(EXIT_BAD_SETTINGS);
+		process.exit(EXIT_INVALID_SETTINGS);
 	}
 }
 
-/** Entry point of a long-running binary: checks the settings, starts the contributions, waits for a signal. */
+/** Main function of a long-running binary; resolves once all contributions have started. */
 export async function runProcess(kind: ProcessKind, provideTransport: TransportProvider): Promise<void> {
 	const { values } = parseArgs({
 		options: {
@@ -102,13 +105,13 @@
 		}
 	});
 	if (values['print-defaults']) {
-		process.stdout.write(`${printDefaults(kind)}\n`);
+		process.stdout.write(`${formatDefaultSettings(kind)}\n`);
 		return;
 	}
-	const file = values.settings ?? process.env[SETTINGS_VARIABLE];
+	const file = values.settings ?? process.env[SETTINGS_ENVIRONMENT_VARIABLE];
 	if (values.help || !file) {
 		process.stdout.write(`usage: shelffield-${kind} --settings FILE | --print-defaults\n`);
-		process.exitCode = values.help ? 0 : EXIT_BAD_SETTINGS;
+		process.exitCode = values.help ? 0 : EXIT_INVALID_SETTINGS;
 		return;
 	}
 	const settings = loadSettings(file, kind);
@@ -121,7 +124,7 @@
 	});
 	const contributions = pluginRegistry.contributionsFor(kind).map(item => services.createInstance(item));
 	stopOnSignal(contributions, services, log);
-	followSettings(file, kind, settings, log);
+	watchSettingsFile(file, kind, settings, log);
 	try {
 		for (const contribution of contributions) {
 			await contribution.start?.();
--- a/src/kernel/node/processPages.ts
+++ b/src/kernel/node/processPages.ts
@@ -2,39 +2,39 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Pages that features add beside the figures of a process, for operators on its own network. */
+/** HTTP endpoints for operators that plug-ins add to the metrics listener of a process. */
 
 import { createServiceIdentifier } from '../common/serviceIdentifier.js';
 import type { HttpHandler } from './httpListener.js';
 
-/** One page. */
+/** An HTTP endpoint. */
 export interface ProcessPage {
 	readonly method: 'GET' | 'DELETE';
-	/** Path, with names of its variable parts after colons. */
+	/** Path pattern; parameters start with a colon, such as `/items/:id`. */
 	readonly pattern: string;
 	readonly handler: HttpHandler;
 }
 
-/** The pages of this process. */
+/** The admin endpoints of this process. */
 export interface IProcessPages {
-	/** All pages added so far. */
+	/** All endpoints added so far. */
 	readonly all: readonly ProcessPage[];
-	/** Adds a page; before the listener opens. */
-	add(page: ProcessPage): void;
+	/** Adds an endpoint; must be called before the metrics listener starts. */
+	add(endpoint: ProcessPage): void;
 }
 
-/** Identifier of the pages. */
-export const IProcessPages = createServiceIdentifier<IProcessPages>('processPages');
+/** Identifier of the admin endpoint service. */
+export const IProcessPages = createServiceIdentifier<IProcessPages>('adminEndpoints');
 
-/** Keeps the pages until the listener opens. */
+/** Collects the endpoints until the metrics listener starts. */
 export class ProcessPages implements IProcessPages {
-	private readonly _pages: ProcessPage[] = [];
+	private readonly _endpoints: ProcessPage[] = [];
 
 	get all(): readonly ProcessPage[] {
-		return this._pages;
+		return this._endpoints;
 	}
 
-	add(page: ProcessPage): void {
-		this._pages.push(page);
+	add(endpoint: ProcessPage): void {
+		this._endpoints.push(endpoint);
 	}
 }
--- a/src/kernel/node/readBody.ts
+++ b/src/kernel/node/readBody.ts
@@ -2,33 +2,36 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Reads bodies of requests whole; apart from the listener, since its library is large and not every process reads any. */
+/**
+ * Reads request bodies into memory. Separate from the listener because it imports `node:stream/consumers`, which is large
+ * and not needed by every process.
+ */
 
 import type { IncomingMessage } from 'node:http';
 import { buffer } from 'node:stream/consumers';
 import { BodyTooLargeError } from './bodyTooLargeError.js';
 
-/** Hands the pieces of a body on until they are more than allowed. */
-async function* limited(request: IncomingMessage, limitBytes: number): AsyncGenerator<Buffer> {
-	let size = 0;
-	// A stream that is left early must live on: whoever sent too much still gets an answer.
-	for await (const piece of request.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
-		size += piece.length;
-		if (size > limitBytes) {
+/** Yields the chunks of a body; throws `BodyTooLargeError` as soon as they exceed the limit. */
+async function* limitSize(request: IncomingMessage, limitBytes: number): AsyncGenerator<Buffer> {
+	let sizeBytes = 0;
+	// The request must not be destroyed when the limit is exceeded, or the error response could not be sent.
+	for await (const chunk of request.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
+		sizeBytes += chunk.length;
+		if (sizeBytes > limitBytes) {
 			throw new BodyTooLargeError(limitBytes);
 		}
-		yield piece;
+		yield chunk;
 	}
 }
 
 /**
  * Reads the body of a request.
- * @param limitBytes most bytes allowed
- * @throws BodyTooLargeError the body is larger; the rest of it is not read
+ * @param limitBytes maximum size of the body
+ * @throws BodyTooLargeError the body exceeds the limit; the rest of it is not read
  */
 export async function readBody(request: IncomingMessage, limitBytes: number): Promise<Buffer> {
 	if (Number(request.headers['content-length'] ?? 0) > limitBytes) {
 		throw new BodyTooLargeError(limitBytes);
 	}
-	return buffer(limited(request, limitBytes));
+	return buffer(limitSize(request, limitBytes));
 }
--- a/src/kernel/node/settingsService.ts
+++ b/src/kernel/node/settingsService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Reads the INI file of a process and checks it against what the features declared. */
+/** Reads the INI file of a process and validates it against the registered settings. */
 
 import { readFileSync } from 'node:fs';
 import { parse } from 'ini';
@@ -10,28 +10,28 @@
 import { createServiceIdentifier } from '../common/serviceIdentifier.js';
 import { type SettingsSection, settingsRegistry } from '../common/settingsRegistry.js';
 
-/** The checked settings of the process. */
+/** The validated settings of the process. */
 export interface ISettingsService {
-	/** The values of a section that occurs once; `T` is the section's own type. */
+	/** The values of a section that occurs once; `T` must match the declaration of the section. */
 	section<T>(name: string): T;
-	/** The values of each section of a named family, by name. */
+	/** The values of all sections such as `[control.c1]`, by the name after the dot. */
 	namedSections<T>(name: string): ReadonlyMap<string, T>;
-	/** Takes over the reloadable sections of another reading of the file; returns the names of those that differ. */
+	/** Replaces the reloadable sections with those of `other`; returns the names of the sections that changed. */
 	reload(other: ISettingsService): string[];
 }
 
 /** Identifier of the settings service. */
 export const ISettingsService = createServiceIdentifier<ISettingsService>('settingsService');
 
-/** One fault in a settings file. */
+/** A validation error in a settings file. */
 export interface SettingsFault {
 	readonly section: string;
 	readonly key?: string;
-	/** What is wrong and what is allowed. */
+	/** Describes the error and the allowed values. */
 	readonly message: string;
 }
 
-/** Every fault of a settings file at once. */
+/** A settings file is invalid; lists all faults. */
 export class SettingsError extends Error {
 	constructor(
 		readonly file: string,
@@ -43,38 +43,38 @@
 	}
 }
 
-/** A check over several sections, such as an address that occurs twice; returns the faults it finds. */
+/** Validates several sections together, for example for duplicate addresses; returns the faults. */
 export type CrossCheck = (settings: ISettingsService) => SettingsFault[];
 
 const crossChecks: { kinds: readonly ProcessKind[]; check: CrossCheck }[] = [];
 
-/** Registers a check that runs when each section by itself is without fault. */
+/** Registers a check that runs once all sections are valid on their own. */
 export function registerCrossCheck(kinds: readonly ProcessKind[], check: CrossCheck): void {
 	crossChecks.push({ kinds, check });
 }
 
-/** Sections whose readers ask for them anew each time, so that a change takes effect in a running process. */
+/** Sections that may change in a running process; code that uses them must not cache their values. */
 const RELOADABLE_SECTIONS = ['discovery'];
 
 type RawSection = Record<string, unknown>;
 
 class CheckedSettings implements ISettingsService {
-	readonly single = new Map<string, unknown>();
-	readonly named = new Map<string, Map<string, unknown>>();
+	readonly sectionValues = new Map<string, unknown>();
+	readonly namedSectionValues = new Map<string, Map<string, unknown>>();
 
 	section<T>(name: string): T {
-		return this.single.get(name) as T;
+		return this.sectionValues.get(name) as T;
 	}
 
 	namedSections<T>(name: string): ReadonlyMap<string, T> {
-		return (this.named.get(name) ?? new Map()) as ReadonlyMap<string, T>;
+		return (this.namedSectionValues.get(name) ?? new Map()) as ReadonlyMap<string, T>;
 	}
 
 	reload(other: ISettingsService): string[] {
 		const changed = RELOADABLE_SECTIONS.filter(
 			name => JSON.stringify(other.section(name)) !== JSON.stringify(this.section(name))
 		);
-		changed.forEach(name => this.single.set(name, other.section(name)));
+		changed.forEach(name => this.sectionValues.set(name, other.section(name)));
 		return changed;
 	}
 }
@@ -104,25 +104,25 @@
 	return values;
 }
 
-function checkNamedFamily(
+function checkNamedSections(
 	section: SettingsSection,
 	raw: RawSection,
 	settings: CheckedSettings,
 	faults: SettingsFault[]
 ): void {
-	const family = new Map<string, unknown>();
+	const valuesByName = new Map<string, unknown>();
 	for (const [name, value] of Object.entries(raw)) {
 		const title = `${section.name}.${name}`;
 		if (typeof value !== 'object' || value === null) {
 			faults.push({ section: section.name, key: name, message: `needs a name: write [${section.name}.NAME]` });
 			continue;
 		}
-		family.set(name, checkSection(title, section, value as RawSection, faults));
+		valuesByName.set(name, checkSection(title, section, value as RawSection, faults));
 	}
-	settings.named.set(section.name, family);
+	settings.namedSectionValues.set(section.name, valuesByName);
 }
 
-/** Sections that stand twice in the file; the INI library would merge them in silence. */
+/** Finds sections that occur more than once; the INI library would merge them without an error. */
 function findRepeatedSections(text: string): SettingsFault[] {
 	const seen = new Set<string>();
 	const faults: SettingsFault[] = [];
@@ -139,8 +139,9 @@
 }
 
 /**
- * Checks the text of a settings file for one kind of process.
- * @throws SettingsError with every fault found
+ * Parses and validates the text of a settings file for one kind of process.
+ * @param file path for error messages
+ * @throws SettingsError the settings are invalid
  */
 export function parseSettings(file: string, text: string, kind: ProcessKind): ISettingsService {
 	const raw = parse(text) as RawSection;
@@ -159,9 +160,9 @@
 		const value = raw[section.name];
 		const given = typeof value === 'object' && value !== null ? (value as RawSection) : {};
 		if (section.named) {
-			checkNamedFamily(section, given, settings, faults);
+			checkNamedSections(section, given, settings, faults);
 		} else {
-			settings.single.set(section.name, checkSection(section.name, section, given, faults));
+			settings.sectionValues.set(section.name, checkSection(section.name, section, given, faults));
 		}
 	}
 	if (faults.length === 0) {
@@ -175,8 +176,8 @@
 }
 
 /**
- * Reads and checks a settings file.
- * @throws SettingsError with every fault found, or when the file cannot be read
+ * Reads and validates a settings file.
+ * @throws SettingsError the file cannot be read or its settings are invalid
  */
 export function readSettings(file: string, kind: ProcessKind): ISettingsService {
 	let text: string;
@@ -188,8 +189,8 @@
 	return parseSettings(file, text, kind);
 }
 
-/** A commented settings file with every key and its default, for one kind of process. */
-export function printDefaults(kind: ProcessKind): string {
+/** Returns a commented settings file with all keys and their defaults for one kind of process. */
+export function formatDefaultSettings(kind: ProcessKind): string {
 	const lines: string[] = [];
 	for (const section of settingsRegistry.sectionsFor(kind)) {
 		lines.push(`; ${section.description}`, `[${section.name}${section.named ? '.NAME' : ''}]`);
--- a/src/kernel/test/boundedOutput.test.ts
+++ b/src/kernel/test/boundedOutput.test.ts
@@ -2,13 +2,13 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Logs never hold a process up: a reader that is slow or gone costs lines. */
+/** A slow or closed reader of the log must not block or terminate the process; lines are dropped instead. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BoundedOutput, type OutputTarget } from '../node/boundedOutput.js';
+import { BoundedOutput, type OutputSink } from '../node/boundedOutput.js';
 
-class StandIn implements OutputTarget {
+class FakeSink implements OutputSink {
 	writableLength = 0;
 	destroyed = false;
 	readonly lines: string[] = [];
@@ -28,8 +28,8 @@
 	}
 }
 
-test('lines are left out while the reader is behind, and their number is told afterwards', () => {
-	const target = new StandIn();
+test('drops lines while the buffer is full, and writes their number afterwards', () => {
+	const target = new FakeSink();
 	const output = new BoundedOutput(target);
 	output.write('a\n');
 	target.writableLength = 10 * 1024 * 1024;
@@ -38,13 +38,13 @@
 	target.writableLength = 0;
 	output.write('d\n');
 	assert.deepEqual([target.lines[0], target.lines.at(-1)], ['a\n', 'd\n']);
-	assert.match(target.lines[1]!, /"log lines left out","count":2/);
+	assert.match(target.lines[1]!, /"log lines dropped","count":2/);
 });
 
-test('a reader that went away ends nothing', () => {
-	const target = new StandIn();
+test('drops lines when the reader is closed', () => {
+	const target = new FakeSink();
 	const output = new BoundedOutput(target);
 	target.fail();
 	output.write('a\n');
-	assert.deepEqual([target.lines.length, output.leftOut], [0, 1]);
+	assert.deepEqual([target.lines.length, output.droppedLines], [0, 1]);
 });
--- a/src/kernel/test/httpPeerCalls.test.ts
+++ b/src/kernel/test/httpPeerCalls.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Calls between processes: answers, failures, silence, and a peer that goes and comes back. */
+/** Peer calls over HTTP: responses, errors, timeouts, malformed responses and reconnecting to a restarted peer. */
 
 import assert from 'node:assert/strict';
 import { createServer as createHttpServer } from 'node:http';
@@ -13,8 +13,8 @@
 import { HttpPeerCalls } from '../node/httpPeerCalls.js';
 import type { ISettingsService } from '../node/settingsService.js';
 
-const echo = defineUnary<{ text: string }, { text: string }>('test', 'Echo');
-const missing = defineUnary<{ text: string }, { text: string }>('test', 'Missing');
+const echoMethod = defineUnary<{ text: string }, { text: string }>('test', 'Echo');
+const unregisteredMethod = defineUnary<{ text: string }, { text: string }>('test', 'Missing');
 
 function createCalls(peerAddress = '127.0.0.1:0'): HttpPeerCalls {
 	const settings: ISettingsService = {
@@ -25,46 +25,46 @@
 	return new HttpPeerCalls(settings);
 }
 
-test('a call is answered, and a failure is told with its cause', async () => {
+test('a call resolves to the response, or rejects with the error of the handler', async () => {
 	const calls = createCalls();
-	calls.handleUnary(echo, async request => {
+	calls.handleUnary(echoMethod, async request => {
 		if (request.text === 'bad') {
-			throw new Error('not this one');
+			throw new Error('handler failed');
 		}
 		return request;
 	});
 	const address = await calls.listen();
 	const large = 'x'.repeat(3000000);
-	assert.equal((await calls.call(address, echo, { text: large }, 2000)).text, large);
-	await assert.rejects(calls.call(address, echo, { text: 'bad' }, 1000), /not this one/);
-	await assert.rejects(calls.call(address, missing, { text: '' }, 1000), /404/);
+	assert.equal((await calls.call(address, echoMethod, { text: large }, 2000)).text, large);
+	await assert.rejects(calls.call(address, echoMethod, { text: 'bad' }, 1000), /handler failed/);
+	await assert.rejects(calls.call(address, unregisteredMethod, { text: '' }, 1000), /404/);
 	calls.dispose();
 });
 
-test('a peer that says nothing costs the time allowed and no more; one that comes back is reached again', async () => {
+test('a call to an unresponsive peer times out, and a restarted peer can be called again', async () => {
 	const caller = createCalls();
-	const silent = createServer(socket => socket.resume());
-	await new Promise<void>(resolve => silent.listen(0, '127.0.0.1', () => resolve()));
-	const address = `127.0.0.1:${(silent.address() as AddressInfo).port}`;
+	const silentPeer = createServer(socket => socket.resume());
+	await new Promise<void>(resolve => silentPeer.listen(0, '127.0.0.1', () => resolve()));
+	const address = `127.0.0.1:${(silentPeer.address() as AddressInfo).port}`;
 	const startedAt = performance.now();
-	await assert.rejects(caller.call(address, echo, { text: 'a' }, 100), /no answer within 100 ms/);
+	await assert.rejects(caller.call(address, echoMethod, { text: 'a' }, 100), /no response within 100 ms/);
 	assert.ok(performance.now() - startedAt < 1000);
-	await new Promise<void>(resolve => silent.close(() => resolve()));
-	await assert.rejects(caller.call(address, echo, { text: 'a' }, 1000));
-	const back = createCalls(address);
-	back.handleUnary(echo, async request => request);
-	await back.listen();
-	assert.equal((await caller.call(address, echo, { text: 'a' }, 1000)).text, 'a');
-	back.dispose();
+	await new Promise<void>(resolve => silentPeer.close(() => resolve()));
+	await assert.rejects(caller.call(address, echoMethod, { text: 'a' }, 1000));
+	const restartedPeer = createCalls(address);
+	restartedPeer.handleUnary(echoMethod, async request => request);
+	await restartedPeer.listen();
+	assert.equal((await caller.call(address, echoMethod, { text: 'a' }, 1000)).text, 'a');
+	restartedPeer.dispose();
 	caller.dispose();
 });
 
-test('an answer that is no message fails the call and nothing else', async () => {
+test('a malformed response rejects only its call', async () => {
 	const caller = createCalls();
-	const garbling = createHttpServer((_request, response) => response.end(Buffer.from([0xc1])));
-	await new Promise<void>(resolve => garbling.listen(0, '127.0.0.1', () => resolve()));
-	const address = `127.0.0.1:${(garbling.address() as AddressInfo).port}`;
-	await assert.rejects(caller.call(address, echo, { text: 'a' }, 1000), /unreadable answer/);
+	const malformedPeer = createHttpServer((_request, response) => response.end(Buffer.from([0xc1])));
+	await new Promise<void>(resolve => malformedPeer.listen(0, '127.0.0.1', () => resolve()));
+	const address = `127.0.0.1:${(malformedPeer.address() as AddressInfo).port}`;
+	await assert.rejects(caller.call(address, echoMethod, { text: 'a' }, 1000), /malformed response/);
 	caller.dispose();
-	garbling.close();
+	malformedPeer.close();
 });
--- a/src/kernel/test/idleConnections.test.ts
+++ b/src/kernel/test/idleConnections.test.ts
@@ -3,12 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * A planned stop lets answers through.
- *
- * Symptom: a caller's connection was closed in the middle of a large answer, 40 ms after its entry instance was told to stop.
- * Sequence: the target's answer had ended, the instance had written its last piece, and much of it was still waiting for
- * the link; the stop closed all idle connections. Cause: the server calls a connection idle once the answer was ended by
- * the program, not once it was sent.
+ * Closing idle connections during a graceful shutdown must not truncate a response that was ended but is still buffered;
+ * Node.js already counts its connection as idle.
  */
 
 import assert from 'node:assert/strict';
@@ -20,13 +16,13 @@
 
 const LARGE_BYTES = 32 * 1024 * 1024;
 let server: Server;
-let idle: IdleConnections;
-/** Resolves when the program has ended the answer. */
-let ended: Promise<void>;
+let connections: IdleConnections;
+/** Resolves when `response.end` was called for the large response. */
+let responseEnded: Promise<void>;
 
 before(async () => {
 	let onEnded: () => void;
-	ended = new Promise(resolve => (onEnded = resolve));
+	responseEnded = new Promise(resolve => (onEnded = resolve));
 	server = createServer((request, response) => {
 		const isLarge = request.url === '/large';
 		response.end(isLarge ? Buffer.alloc(LARGE_BYTES, 'x') : 'small');
@@ -34,7 +30,7 @@
 			onEnded();
 		}
 	});
-	idle = new IdleConnections(server);
+	connections = new IdleConnections(server);
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 });
@@ -44,30 +40,30 @@
 	server.close();
 });
 
-async function ask(path: string): Promise<Socket> {
+async function sendRequest(path: string): Promise<Socket> {
 	const socket = connect((server.address() as AddressInfo).port, '127.0.0.1');
 	await once(socket, 'connect');
 	socket.write(`GET ${path} HTTP/1.1\r\nHost: h\r\n\r\n`);
 	return socket;
 }
 
-test('an answer that was ended and is still being sent is not cut off, a connection at rest is closed', async () => {
-	const resting = await ask('/small');
-	resting.resume();
-	await once(resting, 'data');
-	const reading = await ask('/large');
-	reading.pause();
-	await ended;
-	idle.close();
-	await once(resting, 'close');
-	let bytes = 0;
-	reading.on('data', (piece: Buffer) => {
-		bytes += piece.length;
-		if (bytes > LARGE_BYTES) {
-			reading.destroy();
+test('closes an idle connection, but not one whose ended response is still being sent', async () => {
+	const idleSocket = await sendRequest('/small');
+	idleSocket.resume();
+	await once(idleSocket, 'data');
+	const busySocket = await sendRequest('/large');
+	busySocket.pause();
+	await responseEnded;
+	connections.close();
+	await once(idleSocket, 'close');
+	let receivedBytes = 0;
+	busySocket.on('data', (chunk: Buffer) => {
+		receivedBytes += chunk.length;
+		if (receivedBytes > LARGE_BYTES) {
+			busySocket.destroy();
 		}
 	});
-	reading.resume();
-	await once(reading, 'close');
-	assert.ok(bytes > LARGE_BYTES, `${bytes} of more than ${LARGE_BYTES} bytes came`);
+	busySocket.resume();
+	await once(busySocket, 'close');
+	assert.ok(receivedBytes > LARGE_BYTES, `received ${receivedBytes} of more than ${LARGE_BYTES} bytes`);
 });
