--- a/src/plugins/admission/common/admissionControl.ts
+++ b/src/plugins/admission/common/admissionControl.ts
@@ -2,43 +2,43 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Decides whether a request is worth queueing. Pure: time is passed in. */
+/** Admission control: refuses a request at once that is not expected to complete before its deadline. Callers pass the time in. */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** Weight of the newest sample in the mean service time. */
-const SAMPLE_WEIGHT = 0.1;
-/** A refused request is told to come back no sooner than this. */
+/** Smoothing factor of the exponential moving average of the service time. */
+const SERVICE_TIME_SAMPLE_WEIGHT = 0.1;
+/** Minimum retry delay that a refused request is given. */
 const MIN_RETRY_AFTER_MS = 100;
 
-/** What the decision is made from. */
-export interface AdmissionQuestion {
+/** State of the queue and the slots when a request arrives. */
+export interface AdmissionInput {
 	readonly now: Millis;
 	readonly deadline: Millis;
-	/** Requests of the same group that wait already. */
-	readonly waitingInGroup: number;
-	/** All requests that wait. */
-	readonly waiting: number;
-	/** The group's part of the weight of all groups that wait, more than 0 and at most 1. */
-	readonly shareOfSlots: number;
-	/** Slots that can be used now. */
+	/** Queued requests of the same group. */
+	readonly queuedInGroup: number;
+	/** Queued requests of all groups. */
+	readonly queuedTotal: number;
+	/** Weight of the group divided by the total weight of the groups with queued requests; greater than 0, at most 1. */
+	readonly slotShare: number;
+	/** Usable slots of all targets. */
 	readonly slots: number;
-	/** Slots that are free now. */
+	/** Usable slots that no request occupies. */
 	readonly freeSlots: number;
 }
 
-/** The decision. */
+/** Outcome of admission control; `retryAfterMs` is the delay after which a retry may be admitted. */
 export type AdmissionDecision =
 	| { readonly kind: 'admit' }
 	| { readonly kind: 'refuse'; readonly cause: 'queue-full' | 'deadline' | 'no-slots'; readonly retryAfterMs: Millis };
 
-/** Keeps the mean service time of a service and decides by it. */
+/** Decides on the requests of one service, based on its mean service time. */
 export class AdmissionControl {
 	private _meanServiceMs: Millis;
 
 	/**
-	 * @param _maxQueued most requests that may wait
-	 * @param initialServiceMs mean service time assumed before the first sample
+	 * @param _maxQueued maximum queue length
+	 * @param initialServiceMs mean service time until the first sample
 	 */
 	constructor(
 		private readonly _maxQueued: number,
@@ -47,41 +47,40 @@
 		this._meanServiceMs = initialServiceMs;
 	}
 
-	/** Mean time for which a request occupies a slot. */
+	/** Moving average of the time for which a request occupies a slot, in milliseconds. */
 	get meanServiceMs(): Millis {
 		return this._meanServiceMs;
 	}
 
-	/** A request occupied a slot for this long. */
-	recordService(durationMs: Millis): void {
-		this._meanServiceMs += (durationMs - this._meanServiceMs) * SAMPLE_WEIGHT;
+	/** @param durationMs how long a request occupied its slot */
+	recordServiceTime(durationMs: Millis): void {
+		this._meanServiceMs += (durationMs - this._meanServiceMs) * SERVICE_TIME_SAMPLE_WEIGHT;
 	}
 
-	/** Decides about one request. */
-	decide(question: AdmissionQuestion): AdmissionDecision {
-		if (question.slots === 0) {
-			return { kind: 'refuse', cause: 'no-slots', retryAfterMs: this._retryAfter(this._meanServiceMs) };
+	decide(input: AdmissionInput): AdmissionDecision {
+		if (input.slots === 0) {
+			return { kind: 'refuse', cause: 'no-slots', retryAfterMs: this._retryAfterMs(this._meanServiceMs) };
 		}
-		if (question.freeSlots > 0 && question.waiting === 0) {
+		if (input.freeSlots > 0 && input.queuedTotal === 0) {
 			return { kind: 'admit' };
 		}
-		const waitMs = this.expectedWait(question);
-		if (question.waiting >= this._maxQueued) {
-			return { kind: 'refuse', cause: 'queue-full', retryAfterMs: this._retryAfter(waitMs) };
+		const waitMs = this.expectedWaitMs(input);
+		if (input.queuedTotal >= this._maxQueued) {
+			return { kind: 'refuse', cause: 'queue-full', retryAfterMs: this._retryAfterMs(waitMs) };
 		}
-		if (question.now + waitMs + this._meanServiceMs > question.deadline) {
-			return { kind: 'refuse', cause: 'deadline', retryAfterMs: this._retryAfter(waitMs) };
+		if (input.now + waitMs + this._meanServiceMs > input.deadline) {
+			return { kind: 'refuse', cause: 'deadline', retryAfterMs: this._retryAfterMs(waitMs) };
 		}
 		return { kind: 'admit' };
 	}
 
-	/** How long a request would wait at the present drain rate, in milliseconds. */
-	expectedWait(question: AdmissionQuestion): Millis {
-		const slotsOfGroup = Math.max(question.slots * question.shareOfSlots, Number.EPSILON);
-		return ((question.waitingInGroup + 1) * this._meanServiceMs) / slotsOfGroup;
+	/** Expected queueing time if the group is served at its share of the slots. */
+	expectedWaitMs(input: AdmissionInput): Millis {
+		const groupSlots = Math.max(input.slots * input.slotShare, Number.EPSILON);
+		return ((input.queuedInGroup + 1) * this._meanServiceMs) / groupSlots;
 	}
 
-	private _retryAfter(waitMs: Millis): Millis {
+	private _retryAfterMs(waitMs: Millis): Millis {
 		return Math.ceil(Math.max(MIN_RETRY_AFTER_MS, waitMs));
 	}
 }
--- a/src/plugins/admission/common/fairQueue.ts
+++ b/src/plugins/admission/common/fairQueue.ts
@@ -3,11 +3,11 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The queue of requests that wait for a slot: weighted fair between groups, earliest deadline first within a group.
+ * Queue of requests that wait for a slot: weighted fair queueing between groups, earliest deadline first within a group.
  *
- * Start-time fair queueing: each group has a virtual time that grows by 1/weight for each request it starts; the group
- * with the least virtual time goes next. A group that was idle begins at the present virtual time, so what it did not use
- * was lent to the others for good and its share is its own again at once.
+ * Start-time fair queueing: each group has a virtual time that grows by 1/weight with each request that is dequeued; the
+ * group with the lowest virtual time is served next. A group that was idle resumes at the current virtual time: it gets
+ * its share at once, but no credit for the time during which it was idle.
  *
  * Source: P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queuing" (SIGCOMM 1996).
  */
@@ -16,21 +16,22 @@
 import TinyQueue from 'tinyqueue';
 import type { Millis } from '../../../base/clock.js';
 
-/** What the queue must know of a request. */
+/** Properties of a request that determine its place in the queue. */
 export interface FairQueueOptions extends QueueAddOptions {
 	readonly group: string;
-	/** On the monotonic clock. */
+	/** Time on the monotonic clock. */
 	readonly deadline: Millis;
-	/** Whether the request was given up on meanwhile; then it is dropped. */
+	/** Whether the request was cancelled while queued; it is then dequeued without counting against its group. */
 	readonly isAbandoned: () => boolean;
 }
 
-/** A unit of work, as `p-queue` hands it over. */
+/** Task type of `p-queue`. */
 type RunFunction = () => Promise<unknown>;
 
 interface QueuedRequest extends FairQueueOptions {
 	readonly run: RunFunction;
-	readonly order: number;
+	/** Breaks ties between equal deadlines: first in, first out. */
+	readonly sequenceNumber: number;
 }
 
 interface GroupQueue {
@@ -38,28 +39,28 @@
 	virtualTime: number;
 }
 
-/** A queue class for `p-queue`. */
+/** Queue implementation for `p-queue`. */
 export class FairQueue implements Queue<RunFunction, FairQueueOptions> {
 	private readonly _groups = new Map<string, GroupQueue>();
 	private _virtualTime = 0;
-	private _order = 0;
+	private _nextSequenceNumber = 0;
 	private _size = 0;
 
-	/** @param _weightOf a group's weight, more than 0 */
+	/** @param _weightOf returns the weight of a group, greater than 0 */
 	constructor(private readonly _weightOf: (group: string) => number) {}
 
-	/** Requests waiting, abandoned ones not yet dropped included. */
+	/** Number of queued requests, including abandoned ones that are not dequeued yet. */
 	get size(): number {
 		return this._size;
 	}
 
-	/** Requests of one group that wait. */
-	sizeOf(group: string): number {
+	/** Number of queued requests of a group, including abandoned ones that are not dequeued yet. */
+	groupSize(group: string): number {
 		return this._groups.get(group)?.requests.length ?? 0;
 	}
 
-	/** Weight of the groups that have requests waiting, `group` counted in any case. */
-	waitingWeight(group: string): number {
+	/** Total weight of the groups with queued requests, and of `group` even if it has none. */
+	totalActiveWeight(group: string): number {
 		let weight = 0;
 		for (const [name, queue] of this._groups) {
 			if (queue.requests.length > 0 || name === group) {
@@ -79,7 +80,7 @@
 		if (queue.requests.length === 0) {
 			queue.virtualTime = Math.max(queue.virtualTime, this._virtualTime);
 		}
-		queue.requests.push({ run, group, deadline, isAbandoned, order: this._order++ });
+		queue.requests.push({ run, group, deadline, isAbandoned, sequenceNumber: this._nextSequenceNumber++ });
 		this._size++;
 	}
 
@@ -103,7 +104,7 @@
 	}
 
 	setPriority(): void {
-		throw new Error('requests have deadlines, not priorities');
+		throw new Error('priorities are not supported; requests are ordered by group and deadline');
 	}
 
 	private _nextGroup(): [string, GroupQueue] | undefined {
@@ -119,5 +120,5 @@
 }
 
 function compareRequests(a: QueuedRequest, b: QueuedRequest): number {
-	return a.deadline - b.deadline || a.order - b.order;
+	return a.deadline - b.deadline || a.sequenceNumber - b.sequenceNumber;
 }
--- a/src/plugins/admission/common/retryBudget.ts
+++ b/src/plugins/admission/common/retryBudget.ts
@@ -2,24 +2,23 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Bounds retries to a fraction of first tries, so that failing targets do not see a multiple of the load. */
+/** Limits retries to a fraction of first attempts, so that retries do not multiply the load on failing targets. */
 
-/** Most tokens saved up; a short burst of failures may use them. */
+/** Maximum number of retries that can be saved up for a burst of failures. */
 const MAX_TOKENS = 10;
 
-/** The budget of one service and group. */
+/** Retry budget of one group at one service (token bucket). */
 export class RetryBudget {
 	private _tokens = 0;
 
-	/** @param _ratio retries allowed for each first try, 0 to 1 */
+	/** @param _ratio retries per first attempt, 0 to 1 */
 	constructor(private readonly _ratio: number) {}
 
-	/** A first try was made. */
-	recordFirstTry(): void {
+	recordFirstAttempt(): void {
 		this._tokens = Math.min(MAX_TOKENS, this._tokens + this._ratio);
 	}
 
-	/** Takes one retry from the budget; false when there is none left. */
+	/** Takes one retry from the budget; returns false if the budget is exhausted. */
 	tryTake(): boolean {
 		if (this._tokens < 1) {
 			return false;
--- a/src/plugins/admission/test/fairQueue.test.ts
+++ b/src/plugins/admission/test/fairQueue.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The fair queue and what decides before and after it. */
+/** Fair queue, admission control and retry budget. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,7 +26,7 @@
 	};
 }
 
-test('two groups that always wait are served by their weights, within 3 %', () => {
+test('two groups with queued requests at all times are served in proportion to their weights, within 3 %', () => {
 	const { add, next } = newQueue();
 	for (let i = 0; i < 1000; i++) {
 		add('heavy', i);
@@ -36,7 +36,7 @@
 	assert.ok(Math.abs(served / 800 - 0.75) < 0.03 * 0.75, `${served} of 800`);
 });
 
-test('an idle group’s share is lent, and is its own again with its next request', () => {
+test('other groups use the share of an idle group until its next request', () => {
 	const { add, next } = newQueue();
 	for (let i = 0; i < 100; i++) {
 		add('light', i);
@@ -48,7 +48,7 @@
 	assert.ok([next(), next()].includes('heavy@1'));
 });
 
-test('within a group the earliest deadline goes first', () => {
+test('within a group the request with the earliest deadline is served first', () => {
 	const { add, next } = newQueue();
 	add('light', 30);
 	add('light', 10);
@@ -56,23 +56,23 @@
 	assert.deepEqual([next(), next(), next()], ['light@10', 'light@20', 'light@30']);
 });
 
-test('a request that cannot start before its deadline is refused at once, with when to come back', () => {
+test('a request that cannot complete before its deadline is refused at once, with a retry delay', () => {
 	const admission = new AdmissionControl(100, 50);
-	const question = { now: 0, deadline: 1000, waitingInGroup: 0, waiting: 1, shareOfSlots: 1, slots: 2, freeSlots: 0 };
-	assert.equal(admission.decide(question).kind, 'admit');
-	const late = admission.decide({ ...question, waitingInGroup: 50 });
+	const input = { now: 0, deadline: 1000, queuedInGroup: 0, queuedTotal: 1, slotShare: 1, slots: 2, freeSlots: 0 };
+	assert.equal(admission.decide(input).kind, 'admit');
+	const late = admission.decide({ ...input, queuedInGroup: 50 });
 	assert.ok(late.kind === 'refuse' && late.cause === 'deadline' && late.retryAfterMs >= 1000);
-	const full = admission.decide({ ...question, waiting: 100 });
+	const full = admission.decide({ ...input, queuedTotal: 100 });
 	assert.ok(full.kind === 'refuse' && full.cause === 'queue-full');
-	const none = admission.decide({ ...question, slots: 0 });
+	const none = admission.decide({ ...input, slots: 0 });
 	assert.ok(none.kind === 'refuse' && none.cause === 'no-slots');
 });
 
-test('with every first try failing, tries are at most 1.1 times the first ones and a small burst', () => {
+test('if every first attempt fails, the retry budget limits the attempts to 1.1 times the first attempts plus a small burst', () => {
 	const budget = new RetryBudget(0.1);
 	let retries = 0;
 	for (let i = 0; i < 10000; i++) {
-		budget.recordFirstTry();
+		budget.recordFirstAttempt();
 		retries += budget.tryTake() ? 1 : 0;
 	}
 	assert.ok(retries <= 1010 && retries >= 990, `${retries} retries`);
--- a/src/plugins/dispatch/common/dispatch.ts
+++ b/src/plugins/dispatch/common/dispatch.ts
@@ -2,76 +2,78 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A request on its way, and what other features of an entry instance see of dispatch. */
+/** Service interface for dispatching requests from an entry instance to targets. */
 
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Millis } from '../../../base/clock.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 
-/** A caller's request, checked. */
+/** A validated request of a caller. */
 export interface CarriedRequest {
 	readonly requestId: string;
 	readonly service: string;
 	readonly group: string;
 	readonly method: string;
-	/** Path and query at the target. */
+	/** Path and query to send to the target. */
 	readonly path: string;
-	/** Headers for the target; hop-by-hop headers and ours are taken out. */
+	/** Headers to send to the target, without hop-by-hop headers and headers of shelffield. */
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Buffer;
-	/** On the monotonic clock of this process. */
+	/** Time on the monotonic clock of this process. */
 	readonly deadline: Millis;
-	/** Whether the deadline is the caller's own and so holds to the end of the answer; else only to its head. */
+	/** Whether the deadline, as one set by the caller, applies to the end of the response; otherwise only to its start. */
 	readonly isDeadlineStrict: boolean;
 	readonly orderKey?: string;
-	/** Whether it may run more than once. */
+	/** Whether it may be executed more than once. */
 	readonly isRepeatable: boolean;
-	/** Aborted when the caller has gone. */
+	/** Aborted when the caller disconnects. */
 	readonly signal: AbortSignal;
 }
 
-/** Where the answer of a target goes, piece by piece. */
+/** Receives the response of a target as a stream. */
 export interface ResponseSink {
-	/** The head of the answer; called at most once. */
+	/**
+	 * Passes the status and the headers; called at most once.
+	 * @param headers names and values in turn
+	 */
 	start(status: number, headers: readonly string[]): void;
-	/** A piece of the body; false asks for a pause until `onDrain`. */
+	/** Passes a chunk of the body; returns false if the caller should pause until `onDrain` calls back. */
 	write(chunk: Buffer): boolean;
-	/** Calls back when more may be written. */
+	/** Calls back when writing may resume. */
 	onDrain(callback: () => void): void;
-	/** The answer is whole. */
+	/** Ends a complete response. */
 	end(): void;
-	/** The answer broke off after its head: whoever reads it must see that. */
+	/** Ends a response that was interrupted after its start, so that its reader can tell it from a complete one. */
 	breakOff(): void;
 }
 
-/** How a request that reached a target ended. */
+/** Result of a request that a target responded to. */
 export interface DispatchResult {
 	readonly target: string;
 	readonly status: number;
-	/** Time from arrival until the answer was whole, in milliseconds. */
+	/** Time from the arrival of the request to the end of the response, in milliseconds. */
 	readonly totalMs: Millis;
-	/** Of that, time in the queue. */
+	/** Part of `totalMs` that the request was queued. */
 	readonly queuedMs: Millis;
 }
 
-/** Carries requests to targets. */
+/** Dispatches requests to targets. */
 export interface IDispatch {
-	/** Whether every service has targets, here or at an instance that a request can be handed to. */
+	/** Whether every service has usable slots, at this instance or at another one of the region. */
 	isReady(): boolean;
-	/** Whether a service is known. */
 	hasService(service: string): boolean;
-	/** The services, for error messages. */
+	/** Names of the services, for error messages. */
 	readonly services: readonly string[];
-	/** Largest body of a request to a service, in bytes. */
+	/** Maximum size of a request body, in bytes. */
 	maxBodyBytes(service: string): number;
-	/** Deadline of a request that names none, in milliseconds. */
+	/** Time limit for requests without a deadline, in milliseconds. */
 	defaultDeadlineMs(service: string): Millis;
 	/**
-	 * Carries a request to a target and its answer into the sink.
-	 * @throws RequestError the system gave the request up before the sink was started
+	 * Sends a request to a target and streams the response into the sink.
+	 * @throws RequestError if the request was refused, cancelled or failed; the sink may have been started by then
 	 */
 	dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult>;
 }
 
-/** Identifier of dispatch. */
+/** Service identifier. */
 export const IDispatch = createServiceIdentifier<IDispatch>('dispatch');
--- a/src/plugins/dispatch/common/forwardingSink.ts
+++ b/src/plugins/dispatch/common/forwardingSink.ts
@@ -2,13 +2,12 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A sink that hands everything on; others override what they watch. */
+/** Base classes for response sinks that wrap another sink. */
 
 import type { ResponseSink } from './dispatch.js';
 
-/** Hands an answer on to another sink. */
+/** Passes all calls on to another sink; subclasses override the ones that they observe. */
 export class ForwardingSink implements ResponseSink {
-	/** @param _sink where the answer goes */
 	constructor(private readonly _sink: ResponseSink) {}
 
 	start(status: number, headers: readonly string[]): void {
@@ -32,11 +31,11 @@
 	}
 }
 
-/** Notes whether an answer has begun; after that nothing else can be tried. */
-export class StartWatcher extends ForwardingSink {
+/** Records whether the response has started; a request cannot be retried after that. */
+export class StartTrackingSink extends ForwardingSink {
 	private _isStarted = false;
 
-	/** @param _onStart called when the answer begins */
+	/** @param _onStart called when the response starts */
 	constructor(
 		sink: ResponseSink,
 		private readonly _onStart?: () => void
@@ -44,7 +43,6 @@
 		super(sink);
 	}
 
-	/** Whether the answer has begun. */
 	get isStarted(): boolean {
 		return this._isStarted;
 	}
--- a/src/plugins/dispatch/common/spill.ts
+++ b/src/plugins/dispatch/common/spill.ts
@@ -2,14 +2,14 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Handing a request to another entry instance, which owns targets with free slots. */
+/** Spillover: passing a request to another entry instance when this one has no free slot. */
 
 import type { IncomingHttpHeaders } from 'node:http';
 import { defineStream } from '../../../kernel/common/peerMethods.js';
 import type { RefusalReason, Verdict } from '../../../base/verdict.js';
 import type { DirectoryEntry, RegionLoads } from '../../membership/common/entryReport.js';
 
-/** The request, as it is handed on. */
+/** Message that passes a request to another entry instance. */
 export interface SpillRequest {
 	readonly requestId: string;
 	readonly service: string;
@@ -18,17 +18,17 @@
 	readonly path: string;
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Uint8Array;
-	/** Time left, in milliseconds. */
+	/** Time left until the deadline, in milliseconds. */
 	readonly leftMs: number;
 	readonly isDeadlineStrict: boolean;
 	readonly orderKey?: string;
 	readonly isRepeatable: boolean;
-	/** Whether it may wait in the owner's queue; otherwise it needs a free slot at once. */
+	/** Whether the request may be queued at the receiving instance; otherwise it is refused if no slot is free. */
 	readonly mayQueue: boolean;
 }
 
-/** A piece of the answer. */
-export type SpillAnswer =
+/** Messages of the response stream, in order: `start`, any number of `chunk`, `end`; `refused` takes the place of the rest. */
+export type SpillResponse =
 	| { readonly type: 'start'; readonly status: number; readonly headers: readonly string[] }
 	| { readonly type: 'chunk'; readonly bytes: Uint8Array }
 	| { readonly type: 'end'; readonly target: string }
@@ -41,29 +41,30 @@
 			readonly retryAfterMs?: number;
 	  };
 
-/** Hands a request on. */
-export const spillMethod = defineStream<SpillRequest, SpillAnswer>('dispatch', 'Spill');
+/** Streaming call that passes a request to another entry instance and returns its response. */
+export const spillMethod = defineStream<SpillRequest, SpillResponse>('dispatch', 'Spill');
 
-/** Where a request may be handed on to, and how. */
+/** Instances that a request can be passed to. */
 export interface SpillPlan {
-	/** Instances to try for a free slot, best first. */
-	readonly forFreeSlot: readonly DirectoryEntry[];
+	/** Instances with free slots, best first. */
+	readonly freeSlotCandidates: readonly DirectoryEntry[];
 	/**
-	 * Instances in whose queue it may wait, best first; for an instance without targets of its own. Those of which no slot
-	 * is known come last: what is known lags, and a refusal by one of them costs less than a refusal of the request.
+	 * Instances that may queue the request, best first; used when this instance has no usable slots. Instances without known
+	 * slots come last: the load reports lag, so these may have slots by now.
 	 */
-	readonly forQueue: readonly DirectoryEntry[];
+	readonly queueCandidates: readonly DirectoryEntry[];
 }
 
-/** Instances asked for a free slot; each one that has none costs a round trip, and the queue here is the way out. */
-const MAX_FREE_SLOT_TRIES = 2;
-/** Instances asked to let a request wait; it has no other way out, and what is known of their slots lags. */
-const MAX_QUEUE_TRIES = 5;
+/** Limits the round trips to instances without a free slot; the request can still be queued at this instance. */
+const MAX_FREE_SLOT_CANDIDATES = 2;
+/** Higher than the limit for free slots, since the request is refused if none of these instances accepts it. */
+const MAX_QUEUE_CANDIDATES = 5;
 
 /**
- * Chooses instances of the same region for a request: the own data hall first, then those with the most free slots.
- * @param self name and hall of this instance
- * @param random in [0, 1): spreads requests that see the same directory
+ * Selects other instances of the same region, at random with preference for those with many slots.
+ * @param self identity of this instance
+ * @param random returns a number in [0, 1); randomization keeps instances with the same load reports from all selecting the
+ * same instance
  */
 export function planSpill(
 	service: string,
@@ -72,20 +73,20 @@
 	loads: RegionLoads | undefined,
 	random: () => number
 ): SpillPlan {
-	const columns = loads?.services.find(item => item.service === service);
-	const scored = entries
+	const serviceLoads = loads?.services.find(item => item.service === service);
+	const candidates = entries
 		.filter(entry => entry.identity.instance !== self.instance && entry.identity.region === self.region)
 		.map(entry => {
-			const row = columns?.instances.indexOf(entry.identity.instance) ?? -1;
-			const slots = columns?.slots[row] ?? 0;
-			const free = slots - (columns?.used[row] ?? 0);
-			return { entry, slots, free, order: free * random() };
+			const index = serviceLoads?.instances.indexOf(entry.identity.instance) ?? -1;
+			const slots = serviceLoads?.slots[index] ?? 0;
+			const free = slots - (serviceLoads?.used[index] ?? 0);
+			return { entry, slots, free, score: free * random() };
 		});
-	const withFree = scored.filter(item => item.free > 0).sort((a, b) => b.order - a.order);
-	const withSlots = scored.filter(item => item.slots > 0).sort((a, b) => b.slots * random() - a.slots * random());
-	const unknown = scored.filter(item => item.slots === 0);
+	const withFree = candidates.filter(item => item.free > 0).sort((a, b) => b.score - a.score);
+	const withSlots = candidates.filter(item => item.slots > 0).sort((a, b) => b.slots * random() - a.slots * random());
+	const withoutSlots = candidates.filter(item => item.slots === 0);
 	return {
-		forFreeSlot: withFree.slice(0, MAX_FREE_SLOT_TRIES).map(item => item.entry),
-		forQueue: [...withSlots, ...unknown].slice(0, MAX_QUEUE_TRIES).map(item => item.entry)
+		freeSlotCandidates: withFree.slice(0, MAX_FREE_SLOT_CANDIDATES).map(item => item.entry),
+		queueCandidates: [...withSlots, ...withoutSlots].slice(0, MAX_QUEUE_CANDIDATES).map(item => item.entry)
 	};
 }
--- a/src/plugins/dispatch/common/targetSlots.ts
+++ b/src/plugins/dispatch/common/targetSlots.ts
@@ -2,194 +2,206 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the owner of a target knows of it: slots, whether it leaves, how well it answers. Pure: time is passed in. */
+/** State of an owned target: slots, draining, latency and failures. Callers pass the time in. */
 
 import type { Millis } from '../../../base/clock.js';
 import type { ListedTarget } from './target.js';
 
-const SAMPLE_WEIGHT = 0.2;
-const FAILURES_TO_EJECT = 3;
-const FIRST_EJECTION_MS = 250;
+/** Smoothing factor of the exponential moving average of the latency. */
+const LATENCY_SAMPLE_WEIGHT = 0.2;
+/** Consecutive failures after which a target is ejected. */
+const EJECTION_THRESHOLD = 3;
+const INITIAL_EJECTION_MS = 250;
 const MAX_EJECTION_MS = 5000;
-/** The list must call a target live this long before it takes work again. */
-const BACK_AFTER_MS = 1500;
+/** How long the platform must list a target as live without interruption before it gets requests again. */
+const READMISSION_DELAY_MS = 1500;
 
-/** Time spans of the policy, in milliseconds. */
+/** Durations that depend on the service settings. */
 export interface TargetTiming {
-	/** A new target gets its full slots only after this long. */
+	/** Time over which the usable slots of a new or readmitted target grow to their full number. */
 	readonly slowStartMs: Millis;
-	/** A cancelled request occupies its slot for this long, until the target has noticed. */
+	/** How long a cancelled or failed request keeps its slot, as the target may still be processing it. */
 	readonly cancelGraceMs: Millis;
 }
 
-/** Why a target takes no new work. */
-interface LeavingReasons {
-	byList: boolean;
-	byDrain: boolean;
-	byItself: boolean;
-	/** Since when the list has called it live without a break. */
+/** Why a target gets no new requests; any of the reasons suffices. */
+interface DrainReasons {
+	byPlatformList: boolean;
+	byOperator: boolean;
+	byTarget: boolean;
+	/** Since when the platform has listed the target as live without interruption. */
 	listedLiveSince?: Millis;
 }
 
-/** One target with its slots. */
+/** Slots and health of one target. */
 export class TargetSlots {
 	private _outstanding = 0;
 	private _latencyMs?: Millis;
-	private _failures = 0;
+	private _consecutiveFailures = 0;
 	private _ejectedUntil = 0;
-	private _ejectionMs = FIRST_EJECTION_MS;
-	private readonly _leaving: LeavingReasons = { byList: false, byDrain: false, byItself: false };
+	private _ejectionMs = INITIAL_EJECTION_MS;
+	private readonly _drained: DrainReasons = {
+		byPlatformList: false,
+		byOperator: false,
+		byTarget: false
+	};
 
 	/**
-	 * @param _startedAt when it began to take work; a time long past means that it is warm
+	 * @param _slowStartAt start of the slow start; negative infinity to skip it
 	 */
 	constructor(
 		readonly listed: ListedTarget,
-		private _startedAt: Millis,
+		private _slowStartAt: Millis,
 		private readonly _timing: TargetTiming
 	) {}
 
-	/** Requests that occupy a slot. */
+	/** Number of occupied slots. */
 	get outstanding(): number {
 		return this._outstanding;
 	}
 
-	/** Mean time to the first byte of an answer; undefined before the first. */
+	/** Moving average of the time to the first byte of a response; undefined before the first response. */
 	get latencyMs(): Millis | undefined {
 		return this._latencyMs;
 	}
 
-	/** Whether it takes no new work because it leaves. */
-	get isLeaving(): boolean {
-		return this._leaving.byList || this._leaving.byDrain || this._leaving.byItself;
+	/** Whether the target gets no new requests because it is about to stop or drained by an operator. */
+	get isDraining(): boolean {
+		return this._drained.byPlatformList || this._drained.byOperator || this._drained.byTarget;
 	}
 
-	/** Slots that may be used now. */
+	/** Number of slots that may be occupied now, subject to draining, ejection and slow start. */
 	usableSlots(now: Millis): number {
-		if (this.isLeaving) {
+		if (this.isDraining) {
 			return 0;
 		}
-		if (this._failures >= FAILURES_TO_EJECT) {
+		if (this._consecutiveFailures >= EJECTION_THRESHOLD) {
 			return now < this._ejectedUntil ? 0 : 1;
 		}
-		const warmth = this._timing.slowStartMs === 0 ? 1 : (now - this._startedAt) / this._timing.slowStartMs;
-		return Math.max(1, Math.min(this.listed.slots, Math.floor(this.listed.slots * warmth)));
+		const slowStartFraction = this._timing.slowStartMs === 0 ? 1 : (now - this._slowStartAt) / this._timing.slowStartMs;
+		return Math.max(1, Math.min(this.listed.slots, Math.floor(this.listed.slots * slowStartFraction)));
 	}
 
-	/** Slots that a request could take now. */
+	/** Number of usable slots that are not occupied. */
 	freeSlots(now: Millis): number {
 		return Math.max(0, this.usableSlots(now) - this._outstanding);
 	}
 
 	/**
-	 * Takes a slot.
-	 * @throws Error when all are taken: an owner never does that
+	 * Occupies a slot.
+	 * @throws Error if all slots are occupied, which is a bug of the caller
 	 */
-	take(): void {
+	acquire(): void {
 		if (this._outstanding >= this.listed.slots) {
-			throw new Error(`target ${this.listed.name} has ${this.listed.slots} slots, all taken`);
+			throw new Error(`target ${this.listed.name} has ${this.listed.slots} slots, all occupied`);
 		}
 		this._outstanding++;
 	}
 
-	/** Gives a slot back. */
+	/** @throws Error if no slot is occupied, which is a bug of the caller */
 	release(): void {
 		if (this._outstanding === 0) {
-			throw new Error(`target ${this.listed.name}: a slot was given back twice`);
+			throw new Error(`target ${this.listed.name}: slot released twice`);
 		}
 		this._outstanding--;
 	}
 
-	/** It answered after this long. */
-	recordAnswer(latencyMs: Millis): void {
-		this._failures = 0;
-		this._ejectionMs = FIRST_EJECTION_MS;
+	/**
+	 * Also ends an ejection.
+	 * @param latencyMs time to the first byte of the response
+	 */
+	recordResponse(latencyMs: Millis): void {
+		this._consecutiveFailures = 0;
+		this._ejectionMs = INITIAL_EJECTION_MS;
 		this._latencyMs =
-			this._latencyMs === undefined ? latencyMs : this._latencyMs + (latencyMs - this._latencyMs) * SAMPLE_WEIGHT;
+			this._latencyMs === undefined
+				? latencyMs
+				: this._latencyMs + (latencyMs - this._latencyMs) * LATENCY_SAMPLE_WEIGHT;
 	}
 
-	/** It could not be reached, or broke off. */
+	/** Records that the target could not be reached or that its response was interrupted. */
 	recordFailure(now: Millis): void {
-		this._failures++;
-		if (this._failures >= FAILURES_TO_EJECT) {
+		this._consecutiveFailures++;
+		if (this._consecutiveFailures >= EJECTION_THRESHOLD) {
 			this._ejectedUntil = now + this._ejectionMs;
 			this._ejectionMs = Math.min(MAX_EJECTION_MS, this._ejectionMs * 2);
 		}
 	}
 
-	/** It said itself that it leaves. */
-	noteOwnWord(): void {
-		this._leaving.byItself = true;
-		this._leaving.listedLiveSince = undefined;
+	/** Records that the target itself announced that it accepts no new requests. */
+	recordShutdownAnnouncement(): void {
+		this._drained.byTarget = true;
+		this._drained.listedLiveSince = undefined;
 	}
 
-	/** A confirmed drain names it, or no longer does. */
-	noteDrain(isDrained: boolean, now: Millis): void {
-		if (this._leaving.byDrain && !isDrained) {
-			this._startedAt = now;
+	setDrainedByOperator(isDrained: boolean, now: Millis): void {
+		if (this._drained.byOperator && !isDrained) {
+			this._slowStartAt = now;
 		}
-		this._leaving.byDrain = isDrained;
+		this._drained.byOperator = isDrained;
 	}
 
-	/** What the list says; one word that it is live does not bring back a target that was leaving. */
-	noteListed(isListedLive: boolean, now: Millis): void {
-		const reasons = this._leaving;
+	/** A draining target that is listed as live gets requests again only after `READMISSION_DELAY_MS`, as the list lags. */
+	recordListedState(isListedLive: boolean, now: Millis): void {
+		const drained = this._drained;
 		if (!isListedLive) {
-			reasons.byList = true;
-			reasons.listedLiveSince = undefined;
+			drained.byPlatformList = true;
+			drained.listedLiveSince = undefined;
 			return;
 		}
-		reasons.listedLiveSince ??= now;
-		const isLongLive = now - reasons.listedLiveSince >= BACK_AFTER_MS;
-		if ((reasons.byList || reasons.byItself) && isLongLive) {
-			reasons.byList = false;
-			reasons.byItself = false;
-			this._startedAt = now;
+		drained.listedLiveSince ??= now;
+		const isStable = now - drained.listedLiveSince >= READMISSION_DELAY_MS;
+		if ((drained.byPlatformList || drained.byTarget) && isStable) {
+			drained.byPlatformList = false;
+			drained.byTarget = false;
+			this._slowStartAt = now;
 		}
 	}
 }
 
-/** How many times the median latency of the others makes a target an outlier. */
+/** Multiple of the median latency of the available targets above which a target is an outlier. */
 const OUTLIER_FACTOR = 3;
-/** Below this difference latency does not matter. */
-const OUTLIER_MIN_MS = 5;
-/** An outlier is tried again this often. */
-const OUTLIER_PROBE_MS = 2000;
+/** Minimum difference from the median latency for a target to be an outlier. */
+const MIN_OUTLIER_DIFFERENCE_MS = 5;
+/** How often an outlier gets a request to measure its latency again. */
+const OUTLIER_PROBE_INTERVAL_MS = 2000;
 
-/** Chooses the target for the next request: free slots, no outlier if it can be helped, then least used. */
+/** Chooses among the targets with free slots: latency outliers last, then by lowest utilization and latency. */
 export class TargetChooser {
-	private readonly _probedAt = new Map<string, Millis>();
+	private readonly _lastProbeAt = new Map<string, Millis>();
 
-	/** Returns undefined when no target has a free slot. */
+	/** Returns undefined if no target has a free slot. */
 	choose(targets: Iterable<TargetSlots>, now: Millis): TargetSlots | undefined {
 		const free = [...targets].filter(target => target.freeSlots(now) > 0);
 		if (free.length < 2) {
 			return free[0];
 		}
-		const limit = outlierLimit(free);
-		const probe = free.find(target => this._isDueForProbe(target, limit, now));
+		const thresholdMs = outlierThresholdMs(free);
+		const probe = free.find(target => this._isDueForProbe(target, thresholdMs, now));
 		if (probe) {
-			this._probedAt.set(probe.listed.name, now);
+			this._lastProbeAt.set(probe.listed.name, now);
 			return probe;
 		}
-		const isOutlier = (target: TargetSlots): boolean => (target.latencyMs ?? 0) > limit;
-		const use = (target: TargetSlots): number => target.outstanding / target.listed.slots;
+		const isOutlier = (target: TargetSlots): boolean => (target.latencyMs ?? 0) > thresholdMs;
+		const utilization = (target: TargetSlots): number => target.outstanding / target.listed.slots;
 		return free.sort(
 			(a, b) =>
-				Number(isOutlier(a)) - Number(isOutlier(b)) || use(a) - use(b) || (a.latencyMs ?? 0) - (b.latencyMs ?? 0)
+				Number(isOutlier(a)) - Number(isOutlier(b)) ||
+				utilization(a) - utilization(b) ||
+				(a.latencyMs ?? 0) - (b.latencyMs ?? 0)
 		)[0];
 	}
 
-	private _isDueForProbe(target: TargetSlots, limit: Millis, now: Millis): boolean {
-		if ((target.latencyMs ?? 0) <= limit) {
+	private _isDueForProbe(target: TargetSlots, thresholdMs: Millis, now: Millis): boolean {
+		if ((target.latencyMs ?? 0) <= thresholdMs) {
 			return false;
 		}
-		return now - (this._probedAt.get(target.listed.name) ?? 0) > OUTLIER_PROBE_MS;
+		return now - (this._lastProbeAt.get(target.listed.name) ?? 0) > OUTLIER_PROBE_INTERVAL_MS;
 	}
 }
 
-function outlierLimit(targets: readonly TargetSlots[]): Millis {
+function outlierThresholdMs(targets: readonly TargetSlots[]): Millis {
 	const latencies = targets.map(target => target.latencyMs ?? 0).sort((a, b) => a - b);
 	const median = latencies[Math.floor((latencies.length - 1) / 2)]!;
-	return Math.max(median * OUTLIER_FACTOR, median + OUTLIER_MIN_MS);
+	return Math.max(median * OUTLIER_FACTOR, median + MIN_OUTLIER_DIFFERENCE_MS);
 }
--- a/src/plugins/dispatch/dispatch.plugin.ts
+++ b/src/plugins/dispatch/dispatch.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers dispatch and the reading of the platform's list. */
+/** Registers the dispatch service. */
 
 import {
 	ContributionPhase,
@@ -13,7 +13,7 @@
 import { IDispatch } from './common/dispatch.js';
 import { DispatchService } from './node/dispatchService.js';
 
-/** Starts the reading of the platform's list. */
+/** Starts and drains the dispatch service with the process. */
 class DispatchContribution implements IContribution {
 	constructor(@IDispatch private readonly _dispatch: DispatchService) {}
 
--- a/src/plugins/dispatch/node/dispatchService.ts
+++ b/src/plugins/dispatch/node/dispatchService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** All services of one entry instance. */
+/** Dispatches the requests of one entry instance, to its own targets or to other instances. */
 
 import { systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -16,13 +16,13 @@
 import { DrainScope } from '../../configuration/common/configuration.js';
 import { IEntryConfiguration, type ReportPart } from '../../configuration/common/entryConfiguration.js';
 import type { CarriedRequest, DispatchResult, IDispatch, ResponseSink } from '../common/dispatch.js';
-import { StartWatcher } from '../common/forwardingSink.js';
-import { spanSchema } from '../common/target.js';
+import { StartTrackingSink } from '../common/forwardingSink.js';
+import { durationMsSchema } from '../common/target.js';
 import type { DirectoryEntry } from '../../membership/common/entryReport.js';
 import { planSpill } from '../common/spill.js';
 import { ITargetOwnership } from '../common/targetOwnership.js';
-import { PlatformListTask } from './platformListTask.js';
-import { serveSpill, spill } from './spillTask.js';
+import { PlatformListPoller } from './platformListPoller.js';
+import { serveSpilledRequests, spillRequest } from './spillTransport.js';
 import { ServiceDispatcher } from './serviceDispatcher.js';
 
 const REFRESH_INTERVAL_MS = 100;
@@ -48,7 +48,7 @@
 	name: 'platform',
 	named: false,
 	kinds: [ProcessKind.Entry],
-	description: 'What the platform offers.',
+	description: 'Data that the platform provides.',
 	keys: { listUrl: { schema: urlSchema, description: 'URL of the list of targets.' } }
 });
 
@@ -56,41 +56,42 @@
 	name: 'service',
 	named: true,
 	kinds: [ProcessKind.Entry],
-	description: 'One section for each service that callers may use.',
+	description: 'One section for each service that callers can use.',
 	keys: {
 		maxQueued: {
 			schema: integerSchema(0, 100000),
-			description: 'Most requests that wait for a slot, 0 to 100000.',
+			description: 'Maximum number of requests queued for a slot, 0 to 100000.',
 			default: '1000'
 		},
 		maxBodyBytes: {
 			schema: integerSchema(0, 67108864),
-			description: 'Largest body of a request, 0 to 67108864 bytes.',
+			description: 'Maximum size of a request body, 0 to 67108864 bytes.',
 			default: '1048576'
 		},
 		deadlineMs: {
 			schema: integerSchema(10, 3600000),
-			description: 'Time until the answer begins, for requests that name no deadline, 10 to 3600000 ms.',
+			description: 'Maximum time to the start of the response, for requests without a deadline, 10 to 3600000 ms.',
 			default: '10000'
 		},
 		typicalWorkMs: {
 			schema: integerSchema(1, 3600000),
-			description: 'Time for which a request occupies a slot, until it is measured, 1 to 3600000 ms.',
+			description: 'Initial estimate of the time for which a request occupies a slot, 1 to 3600000 ms.',
 			default: '50'
 		},
 		slowStartMs: {
-			schema: spanSchema,
-			description: 'Time until a target that is new or back gets its full slots, 0 to 3600000 ms.',
+			schema: durationMsSchema,
+			description:
+				'Time over which the usable slots of a new or readmitted target grow to their full number, 0 to 3600000 ms.',
 			default: '2000'
 		},
 		cancelGraceMs: {
-			schema: spanSchema,
-			description: 'Time for which a cancelled request goes on occupying its slot, 0 to 3600000 ms.',
+			schema: durationMsSchema,
+			description: 'Time for which a cancelled or failed request keeps its slot, 0 to 3600000 ms.',
 			default: '100'
 		},
 		retryRatio: {
 			schema: numberSchema(0, 1),
-			description: 'Retries allowed for each first try, 0 to 1.',
+			description: 'Number of retries allowed per first attempt, 0 to 1.',
 			default: '0.1'
 		}
 	}
@@ -102,13 +103,13 @@
 		: [{ section: 'service.NAME', message: 'is missing; at least one service is needed' }]
 );
 
-/** Dispatch of one entry instance. */
+/** Implements dispatch with one `ServiceDispatcher` for each configured service. */
 export class DispatchService extends Disposable implements IDispatch {
 	private readonly _services = new Map<string, ServiceDispatcher>();
 	private readonly _settings: ReadonlyMap<string, ServiceSettings>;
-	private readonly _list: PlatformListTask;
+	private readonly _platformList: PlatformListPoller;
 	private readonly _hall: string;
-	private _servedForOthers = 0;
+	private _activeSpilledRequests = 0;
 	private _isDraining = false;
 
 	constructor(
@@ -132,44 +133,46 @@
 			);
 			this._services.set(service, this._register(dispatcher));
 		}
-		this._list = this._register(new PlatformListTask(settings.section<PlatformSettings>('platform').listUrl, log));
+		this._platformList = this._register(
+			new PlatformListPoller(settings.section<PlatformSettings>('platform').listUrl, log)
+		);
 		this._register(
-			this._list.onDidRead(targets => {
+			this._platformList.onDidRead(targets => {
 				for (const [service, dispatcher] of this._services) {
-					dispatcher.takeList(targets.filter(item => item.hall === this._hall && item.service === service));
+					dispatcher.updateTargets(targets.filter(item => item.hall === this._hall && item.service === service));
 				}
 			})
 		);
 		this._register(this._configuration.onDidChange(() => this._refresh()));
 		this._register(this._ownership.onDidChange(() => this._refresh()));
 		this._configuration.addReportPart(() => this._reportPart());
-		serveSpill(this._wire, (request, sink, mayQueue) => this._serveSpill(request, sink, mayQueue));
+		serveSpilledRequests(this._wire, (request, sink, mayQueue) => this._handleSpilledRequest(request, sink, mayQueue));
 		const timer = setInterval(() => this._refresh(), REFRESH_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
 
-	/** Reads the platform's list for the first time. */
+	/** Starts polling the platform's list of targets; resolves after the first poll, successful or not. */
 	start(): Promise<void> {
-		return this._list.start();
+		return this._platformList.start();
 	}
 
-	/** Takes no more requests of other instances and waits until those it carries have ended. */
+	/** Refuses further requests of other instances and waits until the accepted ones have ended. */
 	async drain(): Promise<void> {
 		this._isDraining = true;
-		while (this._servedForOthers > 0) {
+		while (this._activeSpilledRequests > 0) {
 			await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_MS));
 		}
-		// The last pieces of the last answer are still on their way out.
+		// Allows the last messages of the response streams to be sent.
 		await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_MS));
 	}
 
 	isReady(): boolean {
-		const isCarriedElsewhere = (service: string): boolean => {
-			const columns = this._configuration.loads?.services.find(item => item.service === service);
-			return columns !== undefined && columns.slots.some(slots => slots > 0);
+		const hasSlotsInRegion = (service: string): boolean => {
+			const serviceLoads = this._configuration.loads?.services.find(item => item.service === service);
+			return serviceLoads !== undefined && serviceLoads.slots.some(slots => slots > 0);
 		};
 		return [...this._services].every(
-			([service, dispatcher]) => dispatcher.capacity().slots > 0 || isCarriedElsewhere(service)
+			([service, dispatcher]) => dispatcher.capacity().slots > 0 || hasSlotsInRegion(service)
 		);
 	}
 
@@ -190,7 +193,7 @@
 	}
 
 	async dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
-		const dispatcher = this._dispatcherOf(request.service);
+		const dispatcher = this._getDispatcher(request.service);
 		if (!dispatcher.hasFreeSlot()) {
 			const mayQueue = dispatcher.capacity().slots === 0;
 			const spilled = await this._trySpill(request, sink, mayQueue);
@@ -201,10 +204,10 @@
 		try {
 			return await dispatcher.dispatch(request, sink);
 		} catch (error) {
-			if (!isRefused(error) || dispatcher.capacity().slots > 0) {
+			if (!isNotRun(error) || dispatcher.capacity().slots > 0) {
 				throw error;
 			}
-			// The targets here stopped taking work while the request waited for one of them.
+			// All owned targets became unavailable while the request was queued.
 			const spilled = await this._trySpill(request, sink, true);
 			if (!spilled) {
 				throw error;
@@ -213,7 +216,7 @@
 		}
 	}
 
-	/** Tries other instances in turn; undefined when all said for certain that it did not run. */
+	/** Tries other instances in turn; returns undefined if none accepted the request and it can still be sent elsewhere. */
 	private async _trySpill(
 		request: CarriedRequest,
 		sink: ResponseSink,
@@ -221,15 +224,15 @@
 	): Promise<DispatchResult | undefined> {
 		const arrivedAt = systemClock.now();
 		const candidates = this._spillCandidates(request.service, mayQueue);
-		const watched = new StartWatcher(sink);
+		const trackedSink = new StartTrackingSink(sink);
 		for (const { identity } of candidates) {
 			try {
-				const target = await spill(this._wire, identity.peerAddress, request, watched, mayQueue);
+				const target = await spillRequest(this._wire, identity.peerAddress, request, trackedSink, mayQueue);
 				return { target, status: 0, totalMs: systemClock.now() - arrivedAt, queuedMs: 0 };
 			} catch (error) {
-				const isLost = error instanceof RequestError && error.verdict === 'may-have-run';
-				const mayGoOn = isRefused(error) || (isLost && request.isRepeatable && !watched.isStarted);
-				if (!mayGoOn || request.signal.aborted) {
+				const mayHaveRun = error instanceof RequestError && error.verdict === 'may-have-run';
+				const canTryNext = isNotRun(error) || (mayHaveRun && request.isRepeatable && !trackedSink.isStarted);
+				if (!canTryNext || request.signal.aborted) {
 					throw error;
 				}
 			}
@@ -237,31 +240,31 @@
 		return undefined;
 	}
 
-	/** @param mayQueue whether the request may wait there, rather than needing a free slot at once */
+	/** @param mayQueue whether the other instance may queue the request if it has no free slot */
 	private _spillCandidates(service: string, mayQueue: boolean): readonly DirectoryEntry[] {
 		const { identity, directory, loads } = this._configuration;
 		const plan = planSpill(service, identity, directory?.entries ?? [], loads, Math.random);
-		return mayQueue ? plan.forQueue : plan.forFreeSlot;
+		return mayQueue ? plan.queueCandidates : plan.freeSlotCandidates;
 	}
 
-	/** Takes a request of another instance: into a free slot, or into the queue when it has nowhere else to wait. */
-	private async _serveSpill(request: CarriedRequest, sink: ResponseSink, mayQueue: boolean): Promise<string> {
-		const dispatcher = this._dispatcherOf(request.service);
+	/** Dispatches a request of another instance; resolves with the name of the target. */
+	private async _handleSpilledRequest(request: CarriedRequest, sink: ResponseSink, mayQueue: boolean): Promise<string> {
+		const dispatcher = this._getDispatcher(request.service);
 		if (this._isDraining || (!mayQueue && !dispatcher.hasFreeSlot())) {
-			throw new RequestError('not-run', RefusalReason.NoCapacity, 503, 'no slot is free here');
+			throw new RequestError('not-run', RefusalReason.NoCapacity, 503, 'no free slot at this instance');
 		}
-		this._servedForOthers++;
+		this._activeSpilledRequests++;
 		try {
 			return (await dispatcher.dispatch(request, sink)).target;
 		} finally {
-			this._servedForOthers--;
+			this._activeSpilledRequests--;
 		}
 	}
 
-	private _dispatcherOf(service: string): ServiceDispatcher {
+	private _getDispatcher(service: string): ServiceDispatcher {
 		const dispatcher = this._services.get(service);
 		if (!dispatcher) {
-			const message = `there is no service '${service}'; allowed: ${this.services.join(', ')}`;
+			const message = `unknown service '${service}'; known services: ${this.services.join(', ')}`;
 			throw new RequestError('not-run', RefusalReason.UnknownService, 404, message);
 		}
 		return dispatcher;
@@ -291,6 +294,6 @@
 	}
 }
 
-function isRefused(error: unknown): boolean {
+function isNotRun(error: unknown): boolean {
 	return error instanceof RequestError && error.verdict === 'not-run';
 }
--- a/src/plugins/dispatch/node/platformListTask.ts
+++ b/src/plugins/dispatch/node/platformListPoller.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Polls the platform's list of targets; it lags, so its word is only one of several. */
+/** Polls the platform's list of targets. */
 
 import { request } from 'undici';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -11,16 +11,16 @@
 import { type ListedTarget, platformListSchema } from '../common/target.js';
 
 const POLL_INTERVAL_MS = 500;
-const TIMEOUT_MS = 2000;
+const READ_TIMEOUT_MS = 2000;
 
-/** The platform's list, as last read. */
-export class PlatformListTask extends Disposable {
+/** Polls the list at a fixed interval; the list lags behind the actual state of the targets. */
+export class PlatformListPoller extends Disposable {
 	private readonly _onDidRead = this._register(new Emitter<readonly ListedTarget[]>());
-	/** Fires after each list that could be read. */
+	/** Fires after each successful poll. */
 	readonly onDidRead = this._onDidRead.event;
 	private _isPolling = false;
 
-	/** @param _url address of the list */
+	/** @param _url URL of the list */
 	constructor(
 		private readonly _url: string,
 		private readonly _log: ILogService
@@ -28,7 +28,7 @@
 		super();
 	}
 
-	/** Reads the list once, then again and again. */
+	/** Starts polling; resolves after the first poll, successful or not. */
 	async start(): Promise<void> {
 		const timer = setInterval(() => void this._poll(), POLL_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
@@ -41,11 +41,11 @@
 		}
 		this._isPolling = true;
 		try {
-			const response = await request(this._url, { headersTimeout: TIMEOUT_MS, bodyTimeout: TIMEOUT_MS });
+			const response = await request(this._url, { headersTimeout: READ_TIMEOUT_MS, bodyTimeout: READ_TIMEOUT_MS });
 			const list = platformListSchema.parse(await response.body.json());
 			this._onDidRead.fire(list.targets);
 		} catch (error) {
-			this._log.warn('platform list not read', { task: 'dispatch', error: (error as Error).message });
+			this._log.warn('cannot read platform list', { task: 'dispatch', error: (error as Error).message });
 		} finally {
 			this._isPolling = false;
 		}
--- a/src/plugins/dispatch/node/serviceDispatcher.ts
+++ b/src/plugins/dispatch/node/serviceDispatcher.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Queue, slots and retries of one service at one entry instance. */
+/** Dispatches the requests of one service to the targets that this entry instance owns: queueing, slots and retries. */
 
 import PQueue from 'p-queue';
 import { type Millis, systemClock } from '../../../base/clock.js';
@@ -14,16 +14,18 @@
 import type { CarriedRequest, DispatchResult, ResponseSink } from '../common/dispatch.js';
 import type { ListedTarget } from '../common/target.js';
 import { TargetChooser, TargetSlots, type TargetTiming } from '../common/targetSlots.js';
-import { type AttemptOutcome, TargetConnection } from './targetConnection.js';
-import { WaitingRequest } from './waitingRequest.js';
+import { type AttemptOutcome, TargetConnectionPool } from './targetConnectionPool.js';
+import { PendingRequest } from './pendingRequest.js';
 
 const MAX_ATTEMPTS = 3;
-/** When to come back after a target was lost to another owner right before the first byte. */
-const WITHHELD_RETRY_MS = 100;
-const NEVER_COLD = Number.NEGATIVE_INFINITY;
-const DEMAND_WEIGHT = 0.2;
+/** Retry delay for a request whose target became unavailable right before the first byte was sent. */
+const WITHHELD_RETRY_AFTER_MS = 100;
+/** Start time for targets without a slow start. */
+const SLOW_START_DONE = Number.NEGATIVE_INFINITY;
+/** Smoothing factor of the exponential moving average of the requests in flight; one sample per refresh. */
+const DEMAND_SAMPLE_WEIGHT = 0.2;
 
-/** Policy of one service. */
+/** Settings of a service. */
 export interface ServicePolicy extends TargetTiming {
 	readonly service: string;
 	readonly maxQueued: number;
@@ -31,47 +33,47 @@
 	readonly retryRatio: number;
 }
 
-/** What the dispatcher asks of its surroundings. */
-export interface ServiceSurroundings {
+/** Shared state that a service dispatcher reads. */
+export interface ServiceContext {
 	/** Whether this instance owns a target now. */
 	owns(target: string): boolean;
-	/** Whether a confirmed drain names a target. */
+	/** Whether an operator has drained a target or its data hall. */
 	isDrained(target: string): boolean;
-	/** Weight of a group. */
+	/** Weight of a group, greater than 0. */
 	weightOf(group: string): number;
 }
 
-/** One target with its connections. */
-interface OwnedTarget {
+interface TargetEntry {
 	readonly slots: TargetSlots;
-	readonly connection: TargetConnection;
+	readonly connections: TargetConnectionPool;
 }
 
-/** Use of a group: a mean over time, and the requests that it has in flight now. */
-interface GroupUse {
+/** Requests of a group in flight: the current number and its moving average. */
+interface GroupUsage {
 	inFlight: number;
-	mean: number;
+	meanInFlight: number;
 }
 
-/** One service. */
+/** Dispatcher of one service. */
 export class ServiceDispatcher implements IDisposable {
-	private readonly _targets = new Map<string, OwnedTarget>();
+	private readonly _targets = new Map<string, TargetEntry>();
 	private readonly _fairQueue: FairQueue;
 	private readonly _queue: PQueue<FairQueue, FairQueueOptions>;
 	private readonly _admission: AdmissionControl;
-	private readonly _budgets = new Map<string, RetryBudget>();
-	private readonly _use = new Map<string, GroupUse>();
+	private readonly _retryBudgets = new Map<string, RetryBudget>();
+	private readonly _usageByGroup = new Map<string, GroupUsage>();
 	private readonly _chooser = new TargetChooser();
-	private _hadList = false;
+	private _hasReceivedList = false;
 	private _answers = 0;
 	private _failures = 0;
 
 	constructor(
 		private readonly _policy: ServicePolicy,
-		private readonly _surroundings: ServiceSurroundings
+		private readonly _context: ServiceContext
 	) {
-		const fairQueue = new FairQueue(group => this._surroundings.weightOf(group));
+		const fairQueue = new FairQueue(group => this._context.weightOf(group));
 		this._fairQueue = fairQueue;
+		// PQueue instantiates the queue class itself; the constructor returns the queue that this class also reads.
 		const queueClass = class {
 			constructor() {
 				return fairQueue;
@@ -81,34 +83,34 @@
 		this._admission = new AdmissionControl(_policy.maxQueued, _policy.initialServiceMs);
 	}
 
-	/** Takes the part of the platform's list that concerns this service and hall. */
-	takeList(listed: readonly ListedTarget[]): void {
+	/** @param listed targets of this service and data hall on the platform's list */
+	updateTargets(listed: readonly ListedTarget[]): void {
 		const now = systemClock.now();
 		for (const target of listed) {
 			if (!this._targets.has(target.name)) {
-				const slots = new TargetSlots(target, this._hadList ? now : NEVER_COLD, this._policy);
-				this._targets.set(target.name, { slots, connection: new TargetConnection(target.url, target.slots) });
+				const slots = new TargetSlots(target, this._hasReceivedList ? now : SLOW_START_DONE, this._policy);
+				this._targets.set(target.name, { slots, connections: new TargetConnectionPool(target.url, target.slots) });
 			}
 		}
 		for (const [name, target] of this._targets) {
 			const entry = listed.find(item => item.name === name);
-			target.slots.noteListed(entry?.state === 'live', now);
+			target.slots.recordListedState(entry?.state === 'live', now);
 			if (!entry && target.slots.outstanding === 0) {
-				target.connection.dispose();
+				target.connections.dispose();
 				this._targets.delete(name);
 			}
 		}
-		this._hadList = true;
+		this._hasReceivedList = true;
 		this.refresh();
 	}
 
-	/** Looks again at drains and ownership, and sets how many requests may run at once. */
+	/** Applies changed drains and ownership, adjusts the concurrency of the queue, and samples the demand; called regularly. */
 	refresh(): void {
 		const now = systemClock.now();
 		let usable = 0;
 		for (const { slots } of this._targets.values()) {
-			slots.noteDrain(this._surroundings.isDrained(slots.listed.name), now);
-			if (this._surroundings.owns(slots.listed.name)) {
+			slots.setDrainedByOperator(this._context.isDrained(slots.listed.name), now);
+			if (this._context.owns(slots.listed.name)) {
 				usable += slots.usableSlots(now);
 			}
 		}
@@ -116,37 +118,37 @@
 		if (this._queue.concurrency !== concurrency) {
 			this._queue.concurrency = concurrency;
 		}
-		for (const use of this._use.values()) {
-			use.mean += (use.inFlight - use.mean) * DEMAND_WEIGHT;
+		for (const usage of this._usageByGroup.values()) {
+			usage.meanInFlight += (usage.inFlight - usage.meanInFlight) * DEMAND_SAMPLE_WEIGHT;
 		}
 	}
 
-	/** Slots of the owned targets that take work, and those in use. */
+	/** Usable and occupied slots of the owned targets. */
 	capacity(): { slots: number; used: number } {
 		const now = systemClock.now();
-		const owned = this._owned();
+		const owned = this._ownedTargets();
 		return {
 			slots: owned.reduce((sum, target) => sum + target.slots.usableSlots(now), 0),
 			used: owned.reduce((sum, target) => sum + target.slots.outstanding, 0)
 		};
 	}
 
-	/** Whether a request could start at once. */
+	/** Whether a request could start without being queued. */
 	hasFreeSlot(): boolean {
 		const now = systemClock.now();
-		return this._fairQueue.size === 0 && this._owned().some(target => target.slots.freeSlots(now) > 0);
+		return this._fairQueue.size === 0 && this._ownedTargets().some(target => target.slots.freeSlots(now) > 0);
 	}
 
-	/** Mean use of slots and waiting requests of each group. */
+	/** Mean number of occupied slots and number of queued requests, by group. */
 	demand(): { group: string; used: number; queued: number }[] {
-		return [...this._use].map(([group, use]) => ({
+		return [...this._usageByGroup].map(([group, usage]) => ({
 			group,
-			used: use.mean,
-			queued: this._fairQueue.sizeOf(group)
+			used: usage.meanInFlight,
+			queued: this._fairQueue.groupSize(group)
 		}));
 	}
 
-	/** Answers and failures since the last call. */
+	/** Responses and failures since the last call; failures count as responses too. */
 	takeCounts(): { answers: number; failures: number } {
 		const counts = { answers: this._answers, failures: this._failures };
 		this._answers = 0;
@@ -155,33 +157,33 @@
 	}
 
 	/**
-	 * Carries one request.
-	 * @throws RequestError before the sink was started
+	 * Queues a request, sends it to a target and streams the response into the sink.
+	 * @throws RequestError if the request was refused, cancelled or failed; the sink may have been started by then
 	 */
 	async dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
 		const arrivedAt = systemClock.now();
 		this._admit(request, arrivedAt);
-		const waiting = new WaitingRequest(request);
+		const pending = new PendingRequest(request);
 		const run = async (): Promise<DispatchResult | undefined> => {
-			if (waiting.isGivenUp) {
+			if (pending.isCancelled) {
 				return undefined;
 			}
-			this._refuseIfTooLate(request);
-			waiting.begin();
+			this._refuseIfDeadlineUnreachable(request);
+			pending.markRunning();
 			const queuedMs = systemClock.now() - arrivedAt;
-			const { target, status } = await this._runAttempts(request, waiting.watch(sink), waiting.signal);
+			const { target, status } = await this._runAttempts(request, pending.wrapSink(sink), pending.signal);
 			return { target, status, queuedMs, totalMs: systemClock.now() - arrivedAt };
 		};
 		const queued = this._queue.add(run, {
 			group: request.group,
 			deadline: request.deadline,
-			isAbandoned: () => waiting.isGivenUp
+			isAbandoned: () => pending.isCancelled
 		});
 		try {
-			const result = await Promise.race([queued, waiting.givenUp]);
+			const result = await Promise.race([queued, pending.cancellation]);
 			return result as DispatchResult;
 		} finally {
-			waiting.dispose();
+			pending.dispose();
 			queued.catch(() => undefined);
 		}
 	}
@@ -189,23 +191,23 @@
 	dispose(): void {
 		this._queue.clear();
 		for (const target of this._targets.values()) {
-			target.connection.dispose();
+			target.connections.dispose();
 		}
 	}
 
-	private _owned(): OwnedTarget[] {
-		return [...this._targets.values()].filter(target => this._surroundings.owns(target.slots.listed.name));
+	private _ownedTargets(): TargetEntry[] {
+		return [...this._targets.values()].filter(target => this._context.owns(target.slots.listed.name));
 	}
 
 	private _admit(request: CarriedRequest, now: Millis): void {
 		const { slots, used } = this.capacity();
-		const waitingWeight = this._fairQueue.waitingWeight(request.group);
+		const activeWeight = this._fairQueue.totalActiveWeight(request.group);
 		const decision = this._admission.decide({
 			now,
 			deadline: request.deadline,
-			waitingInGroup: this._fairQueue.sizeOf(request.group),
-			waiting: this._fairQueue.size,
-			shareOfSlots: this._surroundings.weightOf(request.group) / waitingWeight,
+			queuedInGroup: this._fairQueue.groupSize(request.group),
+			queuedTotal: this._fairQueue.size,
+			slotShare: this._context.weightOf(request.group) / activeWeight,
 			slots,
 			freeSlots: Math.max(0, slots - used)
 		});
@@ -216,8 +218,8 @@
 		throw new RequestError('not-run', reason, 503, message, decision.retryAfterMs);
 	}
 
-	/** A request that waited and could not end before its deadline would only waste a slot. */
-	private _refuseIfTooLate(request: CarriedRequest): void {
+	/** Refuses a request that is not expected to complete before its deadline, after the time it was queued. */
+	private _refuseIfDeadlineUnreachable(request: CarriedRequest): void {
 		const leftMs = request.deadline - systemClock.now();
 		if (!request.isDeadlineStrict || leftMs >= this._admission.meanServiceMs) {
 			return;
@@ -232,31 +234,31 @@
 		sink: ResponseSink,
 		signal: AbortSignal
 	): Promise<{ target: string; status: number }> {
-		const budget = this._budgetOf(request.group);
-		budget.recordFirstTry();
+		const budget = this._getRetryBudget(request.group);
+		budget.recordFirstAttempt();
 		let mayHaveRun = false;
-		for (let tries = 1; ; tries++) {
+		for (let attemptNumber = 1; ; attemptNumber++) {
 			const target = this._chooser.choose(
-				this._owned().map(owned => owned.slots),
+				this._ownedTargets().map(owned => owned.slots),
 				systemClock.now()
 			);
 			if (!target) {
-				throw withDoubt(this._noCapacity(), mayHaveRun);
+				throw withUncertainty(this._noCapacityError(), mayHaveRun);
 			}
-			const mayTryAgain = (): boolean => tries < MAX_ATTEMPTS && !signal.aborted && budget.tryTake();
-			const mayRetry = (): boolean => request.isRepeatable && mayTryAgain();
+			const tryTakeRetry = (): boolean => attemptNumber < MAX_ATTEMPTS && !signal.aborted && budget.tryTake();
+			const mayRetry = (): boolean => request.isRepeatable && tryTakeRetry();
 			const outcome = await this._attempt(target, request, sink, signal, mayRetry);
 			if (outcome.kind === 'answered') {
 				return { target: target.listed.name, status: outcome.status };
 			}
 			const wasNotRun = 'verdict' in outcome && outcome.verdict === 'not-run';
-			const isRetried =
-				(outcome.kind === 'withheld' && tries < MAX_ATTEMPTS && !signal.aborted) ||
+			const shouldRetry =
+				(outcome.kind === 'withheld' && attemptNumber < MAX_ATTEMPTS && !signal.aborted) ||
 				outcome.kind === 'shed' ||
-				(outcome.kind === 'failed' && (wasNotRun || request.isRepeatable) && mayTryAgain());
+				(outcome.kind === 'failed' && (wasNotRun || request.isRepeatable) && tryTakeRetry());
 			mayHaveRun ||= !wasNotRun;
-			if (!isRetried) {
-				throw withDoubt(toRequestError(outcome, target.listed.name), mayHaveRun);
+			if (!shouldRetry) {
+				throw withUncertainty(toRequestError(outcome, target.listed.name), mayHaveRun);
 			}
 		}
 	}
@@ -269,84 +271,87 @@
 		mayRetry: () => boolean
 	): Promise<AttemptOutcome> {
 		const { name } = target.listed;
-		const use = this._useOf(request.group);
+		const usage = this._getUsage(request.group);
 		const startedAt = systemClock.now();
-		target.take();
-		use.inFlight++;
-		const outcome = await this._targets.get(name)!.connection.attempt({
+		target.acquire();
+		usage.inFlight++;
+		const outcome = await this._targets.get(name)!.connections.attempt({
 			request,
 			sink,
 			signal,
 			mayRetry,
-			mayWrite: () => this._surroundings.owns(name) && !target.isLeaving
+			maySend: () => this._context.owns(name) && !target.isDraining
 		});
-		use.inFlight--;
-		this._releaseLater(target, outcome);
-		this._record(target, outcome, systemClock.now() - startedAt);
+		usage.inFlight--;
+		this._releaseSlot(target, outcome);
+		this._recordOutcome(target, outcome, systemClock.now() - startedAt);
 		return outcome;
 	}
 
-	/** A cancelled request occupies its slot a little longer: the target may not have noticed yet. */
-	private _releaseLater(target: TargetSlots, outcome: AttemptOutcome): void {
-		const mayStillWork = outcome.kind === 'aborted' || outcome.kind === 'broken' || outcome.kind === 'failed';
-		const isUntouched = 'verdict' in outcome && outcome.verdict === 'not-run';
-		if (mayStillWork && !isUntouched) {
+	/** Delays the release if the target may still be processing the request. */
+	private _releaseSlot(target: TargetSlots, outcome: AttemptOutcome): void {
+		const mayStillBeRunning = outcome.kind === 'aborted' || outcome.kind === 'broken' || outcome.kind === 'failed';
+		const wasNotRun = 'verdict' in outcome && outcome.verdict === 'not-run';
+		if (mayStillBeRunning && !wasNotRun) {
 			setTimeout(() => target.release(), this._policy.cancelGraceMs);
 		} else {
 			target.release();
 		}
 	}
 
-	private _record(target: TargetSlots, outcome: AttemptOutcome, durationMs: Millis): void {
+	private _recordOutcome(target: TargetSlots, outcome: AttemptOutcome, durationMs: Millis): void {
 		if (outcome.kind === 'answered') {
 			this._answers++;
 			this._failures += outcome.status >= 500 ? 1 : 0;
-			this._admission.recordService(durationMs);
-			target.recordAnswer(outcome.firstByteMs);
+			this._admission.recordServiceTime(durationMs);
+			target.recordResponse(outcome.firstByteMs);
 		}
 		if (outcome.kind === 'failed' || outcome.kind === 'broken') {
 			this._answers++;
 			this._failures++;
 			target.recordFailure(systemClock.now());
 		}
-		if ('isLeaving' in outcome && outcome.isLeaving) {
-			target.noteOwnWord();
+		if ('isDraining' in outcome && outcome.isDraining) {
+			target.recordShutdownAnnouncement();
 			this.refresh();
 		}
 	}
 
-	private _budgetOf(group: string): RetryBudget {
-		let budget = this._budgets.get(group);
+	private _getRetryBudget(group: string): RetryBudget {
+		let budget = this._retryBudgets.get(group);
 		if (!budget) {
 			budget = new RetryBudget(this._policy.retryRatio);
-			this._budgets.set(group, budget);
+			this._retryBudgets.set(group, budget);
 		}
 		return budget;
 	}
 
-	private _useOf(group: string): GroupUse {
-		let use = this._use.get(group);
-		if (!use) {
-			use = { inFlight: 0, mean: 0 };
-			this._use.set(group, use);
+	private _getUsage(group: string): GroupUsage {
+		let usage = this._usageByGroup.get(group);
+		if (!usage) {
+			usage = { inFlight: 0, meanInFlight: 0 };
+			this._usageByGroup.set(group, usage);
 		}
-		return use;
+		return usage;
 	}
 
-	private _noCapacity(): RequestError {
+	private _noCapacityError(): RequestError {
 		const retryAfterMs = Math.ceil(this._admission.meanServiceMs);
 		return new RequestError('not-run', RefusalReason.NoCapacity, 503, REFUSALS['no-slots'].message, retryAfterMs);
 	}
 }
 
 const REFUSALS = {
-	'no-slots': { reason: RefusalReason.NoCapacity, message: 'no target of the service takes work here now' },
-	'queue-full': { reason: RefusalReason.QueueFull, message: 'too many requests wait already' },
-	deadline: { reason: RefusalReason.DeadlineUnreachable, message: 'it could not start before its deadline' }
+	'no-slots': { reason: RefusalReason.NoCapacity, message: 'no target of the service is available at this instance' },
+	'queue-full': { reason: RefusalReason.QueueFull, message: 'the queue of the service is full' },
+	deadline: {
+		reason: RefusalReason.DeadlineUnreachable,
+		message: 'the request is not expected to complete before its deadline'
+	}
 } as const;
 
-/** An earlier attempt may have reached a target: then nothing is certain any more. */
-function withDoubt(error: RequestError, mayHaveRun: boolean): RequestError {
+/** Replaces the verdict `not-run` if an earlier attempt may have run. */
+function withUncertainty(error: RequestError, mayHaveRun: boolean): RequestError {
 	if (!mayHaveRun || error.verdict !== 'not-run') {
 		return error;
 	}
@@ -362,12 +367,12 @@
 				'not-run',
 				RefusalReason.NoCapacity,
 				503,
-				`${target} is no longer ours`,
-				WITHHELD_RETRY_MS
+				`target ${target} is no longer available at this instance`,
+				WITHHELD_RETRY_AFTER_MS
 			);
 		case 'aborted':
-			return new RequestError(outcome.verdict, RefusalReason.Cancelled, 499, 'given up on');
+			return new RequestError(outcome.verdict, RefusalReason.Cancelled, 499, 'request cancelled');
 		default:
-			return new RequestError('may-have-run', RefusalReason.TargetFailed, 502, `${target}: the answer broke off`);
+			return new RequestError('may-have-run', RefusalReason.TargetFailed, 502, `${target}: response interrupted`);
 	}
 }
--- a/src/plugins/dispatch/node/spillTask.ts
+++ b/src/plugins/dispatch/node/spillTransport.ts
@@ -2,25 +2,26 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Both ends of handing a request to another entry instance. */
+/** Client and server side of passing a request to another entry instance. */
 
 import * as grpc from '@grpc/grpc-js';
 import { systemClock } from '../../../base/clock.js';
 import { RefusalReason, RequestError } from '../../../base/verdict.js';
 import { type IPeerWire, type ServerStream } from '../../../kernel/node/peerWire.js';
 import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
-import { type SpillAnswer, spillMethod, type SpillRequest } from '../common/spill.js';
+import { type SpillResponse, spillMethod, type SpillRequest } from '../common/spill.js';
 
+/** Matches the messages of connection errors after which the request was certainly not sent. */
 const NEVER_SENT_PATTERN = /ECONNREFUSED|No connection established/;
 
-/** Carries a request that was handed over; resolves with the name of the target. */
+/** Dispatches a request of another instance; resolves with the name of the target. */
 export type SpillHandler = (request: CarriedRequest, sink: ResponseSink, mayQueue: boolean) => Promise<string>;
 
 /**
- * Hands a request to the instance at an address; resolves with the target's name when the answer is whole.
- * @throws RequestError when it was refused or the instance was lost
+ * Passes a request to the instance at `address`; resolves with the name of the target at the end of the response.
+ * @throws RequestError if the instance refused the request or the connection to it failed
  */
-export function spill(
+export function spillRequest(
 	wire: IPeerWire,
 	address: string,
 	request: CarriedRequest,
@@ -36,24 +37,24 @@
 			request.signal.removeEventListener('abort', onAbort);
 			settle();
 		};
-		stream.on('data', (answer: SpillAnswer) => {
-			switch (answer.type) {
+		stream.on('data', (response: SpillResponse) => {
+			switch (response.type) {
 				case 'start':
 					isStarted = true;
-					sink.start(answer.status, answer.headers);
+					sink.start(response.status, response.headers);
 					return;
 				case 'chunk':
-					if (!sink.write(Buffer.from(answer.bytes))) {
+					if (!sink.write(Buffer.from(response.bytes))) {
 						stream.pause();
 						sink.onDrain(() => stream.resume());
 					}
 					return;
 				case 'end':
 					sink.end();
-					finish(() => resolve(answer.target));
+					finish(() => resolve(response.target));
 					return;
 				case 'refused':
-					finish(() => reject(toError(answer)));
+					finish(() => reject(toRequestError(response)));
 					return;
 			}
 		});
@@ -61,32 +62,32 @@
 			if (isStarted) {
 				sink.breakOff();
 			}
-			finish(() => reject(lostError(error, isStarted)));
+			finish(() => reject(instanceLostError(error, isStarted)));
 		});
 		stream.write(toSpillRequest(request, mayQueue));
 		stream.end();
 	});
 }
 
-/** Answers requests that other instances hand over. */
-export function serveSpill(wire: IPeerWire, handle: SpillHandler): void {
+/** Handles requests that other instances pass to this one. */
+export function serveSpilledRequests(wire: IPeerWire, handle: SpillHandler): void {
 	wire.handleStream(spillMethod, stream => {
-		stream.once('data', (message: SpillRequest) => void answerSpill(stream, message, handle));
+		stream.once('data', (message: SpillRequest) => void handleSpillRequest(stream, message, handle));
 	});
 }
 
-async function answerSpill(
-	stream: ServerStream<SpillRequest, SpillAnswer>,
+async function handleSpillRequest(
+	stream: ServerStream<SpillRequest, SpillResponse>,
 	message: SpillRequest,
 	handle: SpillHandler
 ): Promise<void> {
-	const gone = new AbortController();
-	stream.on('cancelled', () => gone.abort());
+	const cancellation = new AbortController();
+	stream.on('cancelled', () => cancellation.abort());
 	const request: CarriedRequest = {
 		...message,
 		body: Buffer.from(message.body),
 		deadline: systemClock.now() + message.leftMs,
-		signal: gone.signal
+		signal: cancellation.signal
 	};
 	let isEnded = false;
 	const sink: ResponseSink = {
@@ -111,11 +112,11 @@
 function toSpillRequest(request: CarriedRequest, mayQueue: boolean): SpillRequest {
 	const { requestId, service, group, method, path, headers, body, isDeadlineStrict, orderKey, isRepeatable } = request;
 	const leftMs = Math.max(0, request.deadline - systemClock.now());
-	const known = { requestId, service, group, method, path, headers, body, isDeadlineStrict, isRepeatable };
-	return { ...known, orderKey, leftMs, mayQueue };
+	const copied = { requestId, service, group, method, path, headers, body, isDeadlineStrict, isRepeatable };
+	return { ...copied, orderKey, leftMs, mayQueue };
 }
 
-function toRefusal(error: Error): SpillAnswer {
+function toRefusal(error: Error): SpillResponse {
 	if (error instanceof RequestError) {
 		const { verdict, reason, status, message, retryAfterMs } = error;
 		return { type: 'refused', verdict, reason, status, message, retryAfterMs };
@@ -124,14 +125,14 @@
 	return { type: 'refused', verdict: 'may-have-run', reason: RefusalReason.TargetFailed, status: 500, message };
 }
 
-function toError(answer: Extract<SpillAnswer, { type: 'refused' }>): RequestError {
-	return new RequestError(answer.verdict, answer.reason, answer.status, answer.message, answer.retryAfterMs);
+function toRequestError(response: Extract<SpillResponse, { type: 'refused' }>): RequestError {
+	return new RequestError(response.verdict, response.reason, response.status, response.message, response.retryAfterMs);
 }
 
-function lostError(error: grpc.ServiceError, isStarted: boolean): RequestError {
-	const isNeverSent = !isStarted && NEVER_SENT_PATTERN.test(error.message);
+function instanceLostError(error: grpc.ServiceError, isStarted: boolean): RequestError {
+	const wasNeverSent = !isStarted && NEVER_SENT_PATTERN.test(error.message);
 	const isCancelled = error.code === grpc.status.CANCELLED;
 	const reason = isCancelled ? RefusalReason.Cancelled : RefusalReason.TargetFailed;
-	const message = `the instance it was handed to was lost: ${error.message}`;
-	return new RequestError(isNeverSent ? 'not-run' : 'may-have-run', reason, isCancelled ? 499 : 502, message);
+	const message = `connection to the instance that the request was passed to failed: ${error.message}`;
+	return new RequestError(wasNeverSent ? 'not-run' : 'may-have-run', reason, isCancelled ? 499 : 502, message);
 }
--- a/src/plugins/dispatch/node/targetConnection.ts
+++ b/src/plugins/dispatch/node/targetConnectionPool.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Carries one request at a time over each connection to one target, and knows whether a byte of it was written. */
+/** HTTP connections to one target; tracks whether any byte of a request was sent. */
 
 import { type Dispatcher, Pool } from 'undici';
 import { systemClock } from '../../../base/clock.js';
@@ -13,7 +13,7 @@
 
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_MS = 20000;
-const HOP_BY_HOP = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
 	'connection',
 	'keep-alive',
 	'transfer-encoding',
@@ -23,37 +23,37 @@
 	'proxy-connection'
 ]);
 
-/** How an attempt at a target ended. */
+/** Result of one attempt to send a request to a target. */
 export type AttemptOutcome =
-	| { readonly kind: 'answered'; readonly status: number; readonly firstByteMs: number; readonly isLeaving: boolean }
-	/** It refused before working, and nothing of its answer went into the sink. */
-	| { readonly kind: 'shed'; readonly isLeaving: boolean }
-	/** No answer; `verdict` says whether the request may have run. */
+	| { readonly kind: 'answered'; readonly status: number; readonly firstByteMs: number; readonly isDraining: boolean }
+	/** The target refused without processing the request; its response was discarded and the sink not started. */
+	| { readonly kind: 'shed'; readonly isDraining: boolean }
+	/** The target could not be reached or the connection failed before a response; `verdict` tells whether the request may have run. */
 	| { readonly kind: 'failed'; readonly verdict: Verdict; readonly message: string }
-	/** No leave to write was given, right before the first byte; another target may take the request. */
+	/** `maySend` returned false, so nothing was sent; the request can be sent to another target. */
 	| { readonly kind: 'withheld'; readonly verdict: 'not-run' }
-	/** The answer broke off after its head went into the sink. */
+	/** The response was interrupted after the sink was started. */
 	| { readonly kind: 'broken' }
-	/** Given up by us; `verdict` as for `failed`. */
+	/** Cancelled by `Attempt.signal`; `verdict` as for `failed`. */
 	| { readonly kind: 'aborted'; readonly verdict: Verdict };
 
-/** What an attempt is made with. */
+/** Request and callbacks of one attempt. */
 export interface Attempt {
 	readonly request: CarriedRequest;
 	readonly sink: ResponseSink;
-	/** Asked when the target refused: true swallows its answer, and another target is to be tried. */
+	/** Called when the target refused without processing; if true, its response is discarded and the outcome is `shed`. */
 	mayRetry(): boolean;
-	/** Asked right before the first byte is written; false ends the attempt as not run. */
-	mayWrite(): boolean;
-	/** Aborted when the caller has gone or the deadline has passed. */
+	/** Called right before the first byte is sent; if false, nothing is sent and the outcome is `withheld`. */
+	maySend(): boolean;
+	/** Aborted when the caller disconnects or the deadline passes. */
 	readonly signal: AbortSignal;
 }
 
-/** The connections to one target. */
-export class TargetConnection implements IDisposable {
+/** Each connection carries one request at a time. */
+export class TargetConnectionPool implements IDisposable {
 	private readonly _pool: Pool;
 
-	/** @param slots most requests at once, and so most connections */
+	/** @param slots maximum number of concurrent requests and thus of connections */
 	constructor(url: string, slots: number) {
 		this._pool = new Pool(url, {
 			connections: slots,
@@ -65,7 +65,7 @@
 		});
 	}
 
-	/** Makes one attempt; never rejects. */
+	/** Sends a request; the promise never rejects. */
 	attempt(attempt: Attempt): Promise<AttemptOutcome> {
 		return new Promise(resolve => {
 			const handler = new AttemptHandler(attempt, resolve);
@@ -103,17 +103,17 @@
 	return headers;
 }
 
-/** Receives the answer of one attempt. */
+/** Receives the response to one attempt. */
 class AttemptHandler implements Dispatcher.DispatchHandler {
 	private readonly _startedAt = systemClock.now();
-	private _isWritten = false;
+	private _isSent = false;
 	private _isAborted = false;
 	private _isWithheld = false;
-	private _isSwallowed = false;
-	private _isHeadSent = false;
+	private _isDiscarded = false;
+	private _isResponseStarted = false;
 	private _status = 0;
 	private _firstByteMs = 0;
-	private _isLeaving = false;
+	private _isDraining = false;
 	private _controller?: Dispatcher.DispatchController;
 	private readonly _onAbort = (): void => this._abort();
 
@@ -128,15 +128,15 @@
 		this._controller = controller;
 		if (this._attempt.signal.aborted) {
 			this._isAborted = true;
-			controller.abort(new Error('given up before the first byte'));
+			controller.abort(new Error('request cancelled before it was sent'));
 			return;
 		}
-		if (!this._attempt.mayWrite()) {
+		if (!this._attempt.maySend()) {
 			this._isWithheld = true;
-			controller.abort(new Error('no leave to write'));
+			controller.abort(new Error('target no longer available to this instance'));
 			return;
 		}
-		this._isWritten = true;
+		this._isSent = true;
 	}
 
 	onResponseStart(
@@ -146,18 +146,18 @@
 	): void {
 		this._firstByteMs = systemClock.now() - this._startedAt;
 		this._status = status;
-		this._isLeaving = headers[TARGET_LEAVING_HEADER] !== undefined;
+		this._isDraining = headers[TARGET_LEAVING_HEADER] !== undefined;
 		const isShed = status === 503 && headers[TARGET_SHED_HEADER] !== undefined;
-		this._isSwallowed = isShed && this._attempt.mayRetry();
-		if (this._isSwallowed) {
+		this._isDiscarded = isShed && this._attempt.mayRetry();
+		if (this._isDiscarded) {
 			return;
 		}
-		this._isHeadSent = true;
+		this._isResponseStarted = true;
 		this._attempt.sink.start(status, flattenHeaders(headers));
 	}
 
 	onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-		if (this._isSwallowed) {
+		if (this._isDiscarded) {
 			return;
 		}
 		if (!this._attempt.sink.write(chunk)) {
@@ -167,17 +167,17 @@
 	}
 
 	onResponseEnd(): void {
-		if (this._isSwallowed) {
-			this._settle({ kind: 'shed', isLeaving: this._isLeaving });
+		if (this._isDiscarded) {
+			this._settle({ kind: 'shed', isDraining: this._isDraining });
 			return;
 		}
 		this._attempt.sink.end();
-		const { _status: status, _firstByteMs: firstByteMs, _isLeaving: isLeaving } = this;
-		this._settle({ kind: 'answered', status, firstByteMs, isLeaving });
+		const { _status: status, _firstByteMs: firstByteMs, _isDraining: isDraining } = this;
+		this._settle({ kind: 'answered', status, firstByteMs, isDraining });
 	}
 
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-		if (this._isHeadSent) {
+		if (this._isResponseStarted) {
 			this._attempt.sink.breakOff();
 			this._settle({ kind: 'broken' });
 			return;
@@ -186,13 +186,13 @@
 			this._settle({ kind: 'withheld', verdict: 'not-run' });
 			return;
 		}
-		const verdict: Verdict = this._isWritten ? 'may-have-run' : 'not-run';
+		const verdict: Verdict = this._isSent ? 'may-have-run' : 'not-run';
 		this._settle(this._isAborted ? { kind: 'aborted', verdict } : { kind: 'failed', verdict, message: error.message });
 	}
 
 	private _abort(): void {
 		this._isAborted = true;
-		this._controller?.abort(new Error('given up'));
+		this._controller?.abort(new Error('request cancelled'));
 		if (!this._controller) {
 			this._settle({ kind: 'aborted', verdict: 'not-run' });
 		}
@@ -207,7 +207,7 @@
 function flattenHeaders(headers: Record<string, string | string[] | undefined>): string[] {
 	const flat: string[] = [];
 	for (const [name, value] of Object.entries(headers)) {
-		if (value === undefined || HOP_BY_HOP.has(name)) {
+		if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) {
 			continue;
 		}
 		for (const item of Array.isArray(value) ? value : [value]) {
--- a/src/plugins/dispatch/test/dispatchService.test.ts
+++ b/src/plugins/dispatch/test/dispatchService.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Requests whose own targets stop taking work, and requests handed on by what is known too late. */
+/** Spillover when the own targets become unavailable, and with outdated load reports of other instances. */
 
 import assert from 'node:assert/strict';
 import { EventEmitter, once } from 'node:events';
@@ -17,7 +17,7 @@
 import type { ISettingsService } from '../../../kernel/node/settingsService.js';
 import type { IEntryConfiguration } from '../../configuration/common/entryConfiguration.js';
 import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
-import type { SpillAnswer } from '../common/spill.js';
+import type { SpillResponse } from '../common/spill.js';
 import { DispatchService } from '../node/dispatchService.js';
 
 const SERVICE_SETTINGS = {
@@ -42,46 +42,49 @@
 
 after(() => servers.forEach(server => server.close()));
 
-async function listen(answer: RequestListener): Promise<string> {
-	const server = createServer(answer);
+async function listen(listener: RequestListener): Promise<string> {
+	const server = createServer(listener);
 	servers.push(server);
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	return `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** Another instance, as a stream to it looks from here. */
+/** Stream to another instance that replies with fixed messages. */
 class FakeSpillStream extends EventEmitter {
-	constructor(private readonly _answers: readonly SpillAnswer[]) {
+	constructor(private readonly _responses: readonly SpillResponse[]) {
 		super();
 	}
 
 	write(): void {
-		setImmediate(() => this._answers.forEach(answer => this.emit('data', answer)));
+		setImmediate(() => this._responses.forEach(response => this.emit('data', response)));
 	}
 
 	end(): void {
-		// Nothing more is sent.
+		// The replies are sent on `write`.
 	}
 }
 
-const SERVED: readonly SpillAnswer[] = [
+const COMPLETE_RESPONSE: readonly SpillResponse[] = [
 	{ type: 'start', status: 200, headers: [] },
 	{ type: 'end', target: 'elsewhere' }
 ];
-const NO_SLOT: readonly SpillAnswer[] = [
+const REFUSAL: readonly SpillResponse[] = [
 	{ type: 'refused', verdict: 'not-run', reason: RefusalReason.NoCapacity, status: 503, message: 'no slot' }
 ];
 
-interface World {
+interface TestInstance {
 	readonly service: DispatchService;
-	readonly asked: string[];
-	owned: boolean;
+	readonly calledAddresses: string[];
+	ownsTarget: boolean;
 	changeOwnership(): void;
 }
 
-/** One instance with one target of one slot, and others that answer as told. */
-async function startWorld(targetUrl: string, others: ReadonlyMap<string, readonly SpillAnswer[]>): Promise<World> {
+/** Starts an instance with one target of one slot; the other instances reply with the given messages. */
+async function startInstance(
+	targetUrl: string,
+	others: ReadonlyMap<string, readonly SpillResponse[]>
+): Promise<TestInstance> {
 	const target = { name: 't1', service: 's', url: targetUrl, hall: 'h1', region: 'r1', slots: 1, state: 'live' };
 	const listUrl = await listen((_request, response) => response.end(JSON.stringify({ targets: [target] })));
 	const settings = {
@@ -100,20 +103,20 @@
 		onDidChange: new Emitter<void>().event,
 		addReportPart: () => undefined
 	} as unknown as IEntryConfiguration;
-	const asked: string[] = [];
+	const calledAddresses: string[] = [];
 	const wire = {
 		handleStream: () => undefined,
 		openStream: (address: string) => {
-			asked.push(address);
+			calledAddresses.push(address);
 			return new FakeSpillStream(others.get(address)!);
 		}
 	} as unknown as IPeerWire;
 	const onDidChange = new Emitter<void>();
-	const world = { asked, owned: true, changeOwnership: () => onDidChange.fire() };
-	const ownership = { owns: () => world.owned, onDidChange: onDidChange.event };
+	const instance = { calledAddresses, ownsTarget: true, changeOwnership: () => onDidChange.fire() };
+	const ownership = { owns: () => instance.ownsTarget, onDidChange: onDidChange.event };
 	const service = new DispatchService(settings, configuration, ownership, wire, NO_LOG);
 	await service.start();
-	return Object.assign(world, { service });
+	return Object.assign(instance, { service });
 }
 
 function request(id: string): CarriedRequest {
@@ -132,38 +135,38 @@
 	};
 }
 
-test('a request that waits for a target here is handed on when that target stops taking work', async t => {
-	const held: (() => void)[] = [];
-	const targetUrl = await listen((_request, response) => held.push(() => response.end('done')));
-	const world = await startWorld(targetUrl, new Map([['e2', SERVED]]));
-	t.after(() => world.service.dispose());
-	const first = world.service.dispatch(request('r-1'), SINK);
-	while (held.length === 0) {
+test('a request that is queued for an own target is passed to another instance when that target becomes unavailable', async t => {
+	const pendingResponses: (() => void)[] = [];
+	const targetUrl = await listen((_request, response) => pendingResponses.push(() => response.end('done')));
+	const instance = await startInstance(targetUrl, new Map([['e2', COMPLETE_RESPONSE]]));
+	t.after(() => instance.service.dispose());
+	const first = instance.service.dispatch(request('r-1'), SINK);
+	while (pendingResponses.length === 0) {
 		await new Promise(resolve => setImmediate(resolve));
 	}
-	// What the others say of their free slots lags: none is known, so the request waits here.
-	const second = world.service.dispatch(request('r-2'), SINK);
-	world.owned = false;
-	world.changeOwnership();
-	held[0]!();
+	// The other instances report no free slots, so the request is queued at this instance.
+	const second = instance.service.dispatch(request('r-2'), SINK);
+	instance.ownsTarget = false;
+	instance.changeOwnership();
+	pendingResponses[0]!();
 	assert.equal((await first).target, 't1');
 	assert.equal((await second).target, 'elsewhere');
-	assert.deepEqual(world.asked, ['e2']);
+	assert.deepEqual(instance.calledAddresses, ['e2']);
 });
 
-test('an instance without targets asks on when the first ones that it knows of take nothing any more', async t => {
+test('an instance without targets tries further instances when the first ones refuse the request', async t => {
 	const targetUrl = await listen((_request, response) => response.end('done'));
 	const others = new Map([
-		['e2', NO_SLOT],
-		['e3', NO_SLOT],
-		['e4', SERVED],
-		['e5', NO_SLOT]
+		['e2', REFUSAL],
+		['e3', REFUSAL],
+		['e4', COMPLETE_RESPONSE],
+		['e5', REFUSAL]
 	]);
-	const world = await startWorld(targetUrl, others);
-	t.after(() => world.service.dispose());
-	world.owned = false;
-	world.changeOwnership();
+	const instance = await startInstance(targetUrl, others);
+	t.after(() => instance.service.dispose());
+	instance.ownsTarget = false;
+	instance.changeOwnership();
 	for (let i = 0; i < 20; i++) {
-		assert.equal((await world.service.dispatch(request(`r-${i}`), SINK)).target, 'elsewhere');
+		assert.equal((await instance.service.dispatch(request(`r-${i}`), SINK)).target, 'elsewhere');
 	}
 });
--- a/src/plugins/dispatch/test/serviceDispatcher.test.ts
+++ b/src/plugins/dispatch/test/serviceDispatcher.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A target that passes to another owner between the choice and the first byte. */
+/** Loss of the ownership of a target after it was chosen and before the first byte of the request is sent. */
 
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:http';
@@ -24,11 +24,11 @@
 	leavingHoldMs: 0
 } as unknown as ServicePolicy;
 const servers: Server[] = [];
-const seen: string[] = [];
+const receivedBy: string[] = [];
 
 async function listen(name: string): Promise<ListedTarget> {
 	const server = createServer((_request, response) => {
-		seen.push(name);
+		receivedBy.push(name);
 		response.end('done');
 	});
 	servers.push(server);
@@ -69,15 +69,15 @@
 
 after(() => servers.forEach(server => server.close()));
 
-/** Starts a request while `first` is owned and lets the ownership pass to `second` before a byte is written. */
-async function dispatchWhilePassing(first: string, second: string | undefined) {
+/** Dispatches a request while `first` is owned; `second` is owned instead before the first byte is sent. */
+async function dispatchDuringOwnershipChange(first: string, second: string | undefined) {
 	let owned: string | undefined = first;
 	const dispatcher = new ServiceDispatcher(POLICY, {
 		owns: name => name === owned,
 		isDrained: () => false,
 		weightOf: () => 1
 	});
-	dispatcher.takeList(targets);
+	dispatcher.updateTargets(targets);
 	setImmediate(() => (owned = second));
 	try {
 		return await dispatcher.dispatch(request(new AbortController().signal), SINK);
@@ -86,13 +86,13 @@
 	}
 }
 
-test('a request whose target was lost before its first byte is placed at another one', async () => {
-	const result = await dispatchWhilePassing('a', 'b');
-	assert.deepEqual([result.target, result.status, seen], ['b', 200, ['b']]);
+test('a request whose target is lost before its first byte is sent goes to another target', async () => {
+	const result = await dispatchDuringOwnershipChange('a', 'b');
+	assert.deepEqual([result.target, result.status, receivedBy], ['b', 200, ['b']]);
 });
 
-test('where there is no other target it is refused with when to come back, and never reads as the caller’s leaving', async () => {
-	await assert.rejects(dispatchWhilePassing('a', undefined), (error: unknown) => {
+test('without another target it is refused with a retry delay, and not reported as cancelled by the caller', async () => {
+	await assert.rejects(dispatchDuringOwnershipChange('a', undefined), (error: unknown) => {
 		assert.ok(error instanceof RequestError);
 		assert.deepEqual([error.verdict, error.status, error.retryAfterMs !== undefined], ['not-run', 503, true]);
 		return true;
--- a/src/plugins/dispatch/test/spill.test.ts
+++ b/src/plugins/dispatch/test/spill.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Whom an instance asks to carry a request that it has no target for. */
+/** Selection of the instances that a request can be passed to. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,18 +22,18 @@
 	return { region: 'r1', services: [columns] };
 }
 
-function namesFor(known: RegionLoads | undefined, entries: readonly DirectoryEntry[]): string[] {
-	return planSpill('s', SELF, entries, known, () => 0.5).forQueue.map(entry => entry.identity.instance);
+function queueCandidateNames(reported: RegionLoads | undefined, entries: readonly DirectoryEntry[]): string[] {
+	return planSpill('s', SELF, entries, reported, () => 0.5).queueCandidates.map(entry => entry.identity.instance);
 }
 
-test('an instance of which no slot is known yet is asked after those with slots', () => {
+test('instances without known slots come after those with slots', () => {
 	const entries = ['e1', 'e2', 'e3', 'e4'].map(name => directoryEntry(name));
-	assert.deepEqual(namesFor(loads({ e1: 6, e3: 6, e4: 0 }), entries), ['e3', 'e2', 'e4']);
-	assert.deepEqual(namesFor(undefined, entries), ['e2', 'e3', 'e4']);
+	assert.deepEqual(queueCandidateNames(loads({ e1: 6, e3: 6, e4: 0 }), entries), ['e3', 'e2', 'e4']);
+	assert.deepEqual(queueCandidateNames(undefined, entries), ['e2', 'e3', 'e4']);
 });
 
-test('an instance of another region is not asked, nor one without slots for a free slot', () => {
+test('instances of other regions are not selected, nor instances without slots for a free slot', () => {
 	const entries = [directoryEntry('e2'), directoryEntry('e3', 'r2')];
-	assert.deepEqual(namesFor(undefined, entries), ['e2']);
-	assert.deepEqual(planSpill('s', SELF, entries, loads({ e2: 0 }), () => 0.5).forFreeSlot, []);
+	assert.deepEqual(queueCandidateNames(undefined, entries), ['e2']);
+	assert.deepEqual(planSpill('s', SELF, entries, loads({ e2: 0 }), () => 0.5).freeSlotCandidates, []);
 });
