--- a/src/plugins/callers/callers.plugin.ts
+++ b/src/plugins/callers/callers.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the caller port. */
+/** Registers the HTTP server for callers. */
 
 import { ContributionPhase, pluginRegistry, ProcessKind } from '../../kernel/common/pluginRegistry.js';
 import { CallerServer } from './node/callerServer.js';
--- a/src/plugins/callers/node/callerServer.ts
+++ b/src/plugins/callers/node/callerServer.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The caller port of an entry instance: look-ups and requests. */
+/** The HTTP server of an entry instance for callers: look-ups of entry instances and requests to services. */
 
 import { createHash, randomUUID } from 'node:crypto';
 import { isIPv4 } from 'node:net';
@@ -23,19 +23,19 @@
 import { IBurnRecorder } from '../../burn/common/burnRecorder.js';
 import { IEntryConfiguration } from '../../configuration/common/entryConfiguration.js';
 import { type CarriedRequest, IDispatch } from '../../dispatch/common/dispatch.js';
-import { IOnceOrders } from '../../once/common/onceOrders.js';
+import { IAtMostOnceDispatch } from '../../once/common/onceOrders.js';
 import { ISteering } from '../../steering/common/steering.js';
-import { headersForTarget, isRepeatableMethod, readCallerHeaders } from '../common/callerHeaders.js';
+import { headersForTarget, isIdempotentMethod, readCallerHeaders } from '../common/callerHeaders.js';
 import { HttpResponseSink } from './httpResponseSink.js';
 
 const MS_PER_SECOND = 1000;
 const ETAG_LENGTH = 16;
-const NOT_READY_RETRY_MS = 500;
-const READY_POLL_MS = 20;
-/** An instance whose services have no target anywhere starts all the same. */
+const NOT_READY_RETRY_AFTER_MS = 500;
+const READY_POLL_INTERVAL_MS = 20;
+/** Time after which an instance starts even if its services have no targets. */
 const READY_TIMEOUT_MS = 6000;
-const LATENCY_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
-const OWN_PATH = /^\/s\/([^/]+)(\/.*)?$/;
+const LATENCY_BUCKETS_SECONDS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
+const SERVICE_PATH_PATTERN = /^\/s\/([^/]+)(\/.*)?$/;
 
 /** Section `[callers]`. */
 interface CallerSettings {
@@ -47,27 +47,30 @@
 	name: 'callers',
 	named: false,
 	kinds: [ProcessKind.Entry],
-	description: 'The port for callers.',
+	description: 'HTTP listener for callers.',
 	keys: {
-		address: { schema: addressSchema, description: 'IPv4 address and port; port 0 lets the system choose.' },
+		address: {
+			schema: addressSchema,
+			description: 'IPv4 address and port of the listener; port 0 lets the operating system choose one.'
+		},
 		maxConnections: {
 			schema: integerSchema(1, 100000),
-			description: 'Most connections at once, 1 to 100000.',
+			description: 'Maximum number of concurrent connections, 1 to 100000.',
 			default: '10000'
 		}
 	}
 });
 
-/** The caller port. */
+/** Serves look-ups and requests of callers. */
 export class CallerServer extends Disposable implements IContribution {
 	private readonly _listener: HttpListener;
 	private readonly _instance: InstanceSettings;
-	private readonly _requests: Counter<'service' | 'group' | 'verdict' | 'reason'>;
-	private readonly _latency: Histogram<'service' | 'group'>;
-	private readonly _lookups: Counter;
+	private readonly _requestsTotal: Counter<'service' | 'group' | 'verdict' | 'reason'>;
+	private readonly _requestSeconds: Histogram<'service' | 'group'>;
+	private readonly _lookupsTotal: Counter;
 	private readonly _idPrefix = randomUUID().slice(0, 8);
 	private _nextId = 0;
-	private _isLeaving = false;
+	private _isDraining = false;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
@@ -77,8 +80,8 @@
 		@IEntryConfiguration private readonly _configuration: IEntryConfiguration,
 		@ISteering private readonly _steering: ISteering,
 		@IDispatch private readonly _dispatch: IDispatch,
-		@IOnceOrders private readonly _onceOrders: IOnceOrders,
-		@IBurnRecorder private readonly _burn: IBurnRecorder
+		@IAtMostOnceDispatch private readonly _atMostOnceDispatch: IAtMostOnceDispatch,
+		@IBurnRecorder private readonly _burnRecorder: IBurnRecorder
 	) {
 		super();
 		this._instance = settings.section<InstanceSettings>('instance');
@@ -88,28 +91,32 @@
 				address,
 				maxConnections,
 				metrics,
-				isReady: () => this._configuration.isUsable && this._dispatch.isReady() && !this._isLeaving,
+				isReady: () => this._configuration.isUsable && this._dispatch.isReady() && !this._isDraining,
 				onError: error => this._log.error('request failed', { task: 'callers', error: error.stack })
 			})
 		);
 		this._listener.on('GET', '/v1/entries', (request, response) => this._lookUp(request, response));
-		this._listener.onAll('/s/*', (request, response) => this._carry(request, response));
-		this._configuration.addReportPart(() => ({ leaving: this._isLeaving }));
+		this._listener.onAll('/s/*', (request, response) => this._handleRequest(request, response));
+		this._configuration.addReportPart(() => ({ leaving: this._isDraining }));
 		const registers = [metrics.registry];
-		this._requests = new Counter({
+		this._requestsTotal = new Counter({
 			name: 'shelffield_requests_total',
-			help: 'Requests of callers by how they ended',
+			help: 'Requests of callers by verdict and refusal reason',
 			labelNames: ['service', 'group', 'verdict', 'reason'],
 			registers
 		});
-		this._latency = new Histogram({
+		this._requestSeconds = new Histogram({
 			name: 'shelffield_request_seconds',
-			help: 'Time from the arrival of a request until its answer was whole, for requests that ran',
+			help: 'Time from the arrival of a request until its response was complete, for requests that ran',
 			labelNames: ['service', 'group'],
-			buckets: LATENCY_BUCKETS,
+			buckets: LATENCY_BUCKETS_SECONDS,
+			registers
+		});
+		this._lookupsTotal = new Counter({
+			name: 'shelffield_lookups_total',
+			help: 'Look-ups of entry instances that were answered',
 			registers
 		});
-		this._lookups = new Counter({ name: 'shelffield_lookups_total', help: 'Look-ups answered', registers });
 	}
 
 	async start(): Promise<void> {
@@ -124,45 +131,48 @@
 			peerAddress,
 			incarnation: randomUUID()
 		});
-		await this._waitReady();
+		await this._waitUntilReady();
 	}
 
-	/** Leaves the look-ups at once, serves on for as long as callers may have cached one, then ends what is in flight. */
+	/**
+	 * Withdraws this instance from look-ups, serves until cached look-ups have expired, then stops accepting requests and
+	 * waits for those in flight.
+	 */
 	async drain(): Promise<void> {
-		this._isLeaving = true;
+		this._isDraining = true;
 		this._configuration.reportNow();
 		await new Promise(resolve => setTimeout(resolve, this._steering.lookupTtlMs));
 		await this._listener.finish();
 	}
 
-	private async _waitReady(): Promise<void> {
-		const until = systemClock.now() + READY_TIMEOUT_MS;
+	private async _waitUntilReady(): Promise<void> {
+		const deadline = systemClock.now() + READY_TIMEOUT_MS;
 		const isReady = (): boolean => this._configuration.isUsable && this._dispatch.isReady();
-		while (!isReady() && systemClock.now() < until) {
-			await new Promise(resolve => setTimeout(resolve, READY_POLL_MS));
+		while (!isReady() && systemClock.now() < deadline) {
+			await new Promise(resolve => setTimeout(resolve, READY_POLL_INTERVAL_MS));
 		}
 	}
 
 	private _lookUp(request: HttpRequest, response: HttpResponse): void {
-		const service = textOf(request, 'service');
-		const group = textOf(request, 'group');
-		const client = textOf(request, 'client') ?? request.socket.remoteAddress ?? '';
-		const fault = this._lookupFault(service, group, textOf(request, 'client'));
-		if (fault) {
-			sendVerdict(response, fault, this._newRequestId());
+		const service = firstQueryValue(request, 'service');
+		const group = firstQueryValue(request, 'group');
+		const client = firstQueryValue(request, 'client') ?? request.socket.remoteAddress ?? '';
+		const requestError = this._validateLookUp(service, group, firstQueryValue(request, 'client'));
+		if (requestError) {
+			sendRequestError(response, requestError, this._newRequestId());
 			return;
 		}
-		const answer = this._steering.lookUp(service!, group!, client);
-		if (!answer) {
-			sendVerdict(response, notReady(), this._newRequestId());
+		const lookUpAnswer = this._steering.lookUp(service!, group!, client);
+		if (!lookUpAnswer) {
+			sendRequestError(response, notReadyError(), this._newRequestId());
 			return;
 		}
-		this._lookups.inc();
-		const body = JSON.stringify(answer);
-		const tag = `"${createHash('sha1').update(body).digest('hex').slice(0, ETAG_LENGTH)}"`;
-		response.setHeader('Cache-Control', `max-age=${answer.ttlSeconds}`);
-		response.setHeader('ETag', tag);
-		if (request.headers['if-none-match'] === tag) {
+		this._lookupsTotal.inc();
+		const body = JSON.stringify(lookUpAnswer);
+		const etag = `"${createHash('sha1').update(body).digest('hex').slice(0, ETAG_LENGTH)}"`;
+		response.setHeader('Cache-Control', `max-age=${lookUpAnswer.ttlSeconds}`);
+		response.setHeader('ETag', etag);
+		if (request.headers['if-none-match'] === etag) {
 			response.statusCode = 304;
 			response.end();
 			return;
@@ -172,15 +182,15 @@
 		response.end(body);
 	}
 
-	private _lookupFault(service?: string, group?: string, client?: string): RequestError | undefined {
+	private _validateLookUp(service?: string, group?: string, client?: string): RequestError | undefined {
 		if (service === undefined || !this._dispatch.hasService(service)) {
-			return badField('service', this._dispatch.services.join(', '), RefusalReason.UnknownService);
+			return invalidFieldError('service', this._dispatch.services.join(', '), RefusalReason.UnknownService);
 		}
 		if (group === undefined || !this._hasGroup(group)) {
-			return badField('group', this._groupNames(), RefusalReason.UnknownGroup);
+			return invalidFieldError('group', this._groupNames(), RefusalReason.UnknownGroup);
 		}
 		if (client !== undefined && !isIPv4(client)) {
-			return badField('client', 'an IPv4 address', RefusalReason.BadRequest);
+			return invalidFieldError('client', 'an IPv4 address', RefusalReason.BadRequest);
 		}
 		return undefined;
 	}
@@ -194,62 +204,65 @@
 		return this._configuration.table?.groups.map(item => item.name).join(', ') ?? '';
 	}
 
-	private async _carry(request: HttpRequest, response: HttpResponse): Promise<void> {
+	private async _handleRequest(request: HttpRequest, response: HttpResponse): Promise<void> {
 		const requestId = this._newRequestId();
 		const labels = { service: '', group: '' };
 		try {
-			const carried = await this._readRequest(request, response, requestId);
-			labels.service = carried.service;
-			labels.group = carried.group;
+			const dispatchRequest = await this._readRequest(request, response, requestId);
+			labels.service = dispatchRequest.service;
+			labels.group = dispatchRequest.group;
 			const sink = new HttpResponseSink(response, requestId);
-			const carrier =
-				carried.orderKey === undefined ? this._dispatch.dispatch(carried, sink) : this._onceOrders.carry(carried, sink);
-			const result = await carrier;
-			this._requests.inc({ ...labels, verdict: 'ran', reason: '' });
-			this._latency.observe(labels, result.totalMs / MS_PER_SECOND);
-			this._burn.record(labels.service, labels.group, response.statusCode >= 500, result.totalMs);
+			const pendingResult =
+				dispatchRequest.orderKey === undefined
+					? this._dispatch.dispatch(dispatchRequest, sink)
+					: this._atMostOnceDispatch.dispatch(dispatchRequest, sink);
+			const result = await pendingResult;
+			this._requestsTotal.inc({ ...labels, verdict: 'ran', reason: '' });
+			this._requestSeconds.observe(labels, result.totalMs / MS_PER_SECOND);
+			this._burnRecorder.record(labels.service, labels.group, response.statusCode >= 500, result.totalMs);
 		} catch (error) {
-			this._refuse(response, error as Error, requestId, labels);
+			this._handleError(response, error as Error, requestId, labels);
 		}
 	}
 
-	private _refuse(
+	private _handleError(
 		response: HttpResponse,
 		error: Error,
 		requestId: string,
 		labels: { service: string; group: string }
 	): void {
-		const refusal = toRequestError(error);
-		if (!refusal) {
+		const knownError = toRequestError(error);
+		if (!knownError) {
 			this._log.error('request failed', { task: 'callers', requestId, error: error.stack });
 		}
-		const given = refusal ?? new RequestError('may-have-run', RefusalReason.TargetFailed, 500, 'internal error');
-		this._requests.inc({ ...labels, verdict: given.verdict, reason: given.reason });
-		if (given.status >= 500 && labels.service !== '') {
-			this._burn.record(labels.service, labels.group, true, 0);
+		const requestError =
+			knownError ?? new RequestError('may-have-run', RefusalReason.TargetFailed, 500, 'internal error');
+		this._requestsTotal.inc({ ...labels, verdict: requestError.verdict, reason: requestError.reason });
+		if (requestError.status >= 500 && labels.service !== '') {
+			this._burnRecorder.record(labels.service, labels.group, true, 0);
 		}
 		if (response.headersSent) {
 			response.destroy();
 			return;
 		}
-		sendVerdict(response, given, requestId);
+		sendRequestError(response, requestError, requestId);
 	}
 
 	private async _readRequest(request: HttpRequest, response: HttpResponse, requestId: string): Promise<CarriedRequest> {
 		const arrivedAt = systemClock.now();
-		const [, service, path] = OWN_PATH.exec(request.url!) ?? [];
+		const [, service, path] = SERVICE_PATH_PATTERN.exec(request.url!) ?? [];
 		if (!service || !this._dispatch.hasService(service)) {
-			throw badField('service', this._dispatch.services.join(', '), RefusalReason.UnknownService);
+			throw invalidFieldError('service', this._dispatch.services.join(', '), RefusalReason.UnknownService);
 		}
 		const { group, deadlineMs, orderKey } = readCallerHeaders(request.headers);
 		if (!this._configuration.isUsable) {
-			throw notReady();
+			throw notReadyError();
 		}
 		if (!this._hasGroup(group)) {
-			throw badField('Shelffield-Group', this._groupNames(), RefusalReason.UnknownGroup);
+			throw invalidFieldError('Shelffield-Group', this._groupNames(), RefusalReason.UnknownGroup);
 		}
-		const gone = new AbortController();
-		response.once('close', () => !response.writableFinished && gone.abort());
+		const disconnected = new AbortController();
+		response.once('close', () => !response.writableFinished && disconnected.abort());
 		const hasBody =
 			request.headers['content-length'] !== undefined || request.headers['transfer-encoding'] !== undefined;
 		const body = hasBody ? await readBody(request, this._dispatch.maxBodyBytes(service)) : Buffer.alloc(0);
@@ -264,8 +277,8 @@
 			deadline: arrivedAt + (deadlineMs ?? this._dispatch.defaultDeadlineMs(service)),
 			isDeadlineStrict: deadlineMs !== undefined,
 			orderKey,
-			isRepeatable: orderKey === undefined && isRepeatableMethod(request.method!),
-			signal: gone.signal
+			isRepeatable: orderKey === undefined && isIdempotentMethod(request.method!),
+			signal: disconnected.signal
 		};
 	}
 
@@ -274,19 +287,19 @@
 	}
 }
 
-function textOf(request: HttpRequest, key: string): string | undefined {
+function firstQueryValue(request: HttpRequest, key: string): string | undefined {
 	const value = request.query[key];
 	return Array.isArray(value) ? value[0] : value;
 }
 
-function badField(field: string, allowed: string, reason: RefusalReason): RequestError {
+function invalidFieldError(field: string, allowed: string, reason: RefusalReason): RequestError {
 	const status = reason === RefusalReason.BadRequest ? 400 : 404;
 	return new RequestError('not-run', reason, status, `${field} is missing or not known; allowed: ${allowed}`);
 }
 
-function notReady(): RequestError {
-	const message = 'this instance has no configuration yet';
-	return new RequestError('not-run', RefusalReason.NoConfiguration, 503, message, NOT_READY_RETRY_MS);
+function notReadyError(): RequestError {
+	const message = 'this instance has not received its configuration yet';
+	return new RequestError('not-run', RefusalReason.NoConfiguration, 503, message, NOT_READY_RETRY_AFTER_MS);
 }
 
 function toRequestError(error: Error): RequestError | undefined {
@@ -299,8 +312,8 @@
 	return undefined;
 }
 
-/** Answers with a verdict of the system itself. */
-function sendVerdict(response: HttpResponse, error: RequestError, requestId: string): void {
+/** Sends the response for a request that this instance refused or that failed. */
+function sendRequestError(response: HttpResponse, error: RequestError, requestId: string): void {
 	if (response.destroyed) {
 		return;
 	}
--- a/src/plugins/callers/node/httpResponseSink.ts
+++ b/src/plugins/callers/node/httpResponseSink.ts
@@ -2,22 +2,22 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Writes the answer of a target into the answer to a caller. */
+/** Writes the response of a target to the HTTP response for the caller. */
 
 import type { HttpResponse } from '../../../kernel/node/httpListener.js';
 import type { ResponseSink } from '../../dispatch/common/dispatch.js';
 
-/** A sink over one HTTP answer. */
+/** A response sink that writes to an HTTP response. */
 export class HttpResponseSink implements ResponseSink {
-	/** @param _requestId goes into the head of the answer */
+	/** @param _requestId sent to the caller as `Shelffield-Request-Id` */
 	constructor(
 		private readonly _response: HttpResponse,
 		private readonly _requestId: string
 	) {}
 
 	start(status: number, headers: readonly string[]): void {
-		const own = ['Shelffield-Verdict', 'ran', 'Shelffield-Request-Id', this._requestId];
-		this._response.writeHead(status, [...headers, ...own]);
+		const addedHeaders = ['Shelffield-Verdict', 'ran', 'Shelffield-Request-Id', this._requestId];
+		this._response.writeHead(status, [...headers, ...addedHeaders]);
 	}
 
 	write(chunk: Buffer): boolean {
--- a/src/plugins/once/common/onceOrders.ts
+++ b/src/plugins/once/common/onceOrders.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the caller port sees of once-only orders, and the methods behind it. */
+/** At-most-once dispatch of requests with an order key, and the peer methods that it calls at control instances. */
 
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
@@ -10,38 +10,41 @@
 import type { CarriedRequest, DispatchResult, ResponseSink } from '../../dispatch/common/dispatch.js';
 import type { ClaimResult, OrderOutcome } from './orderLedger.js';
 
-/** Claims a key for a request. */
+/** Claims an order key for a request. */
 export interface ClaimRequest extends LeaderRequest {
 	readonly key: string;
+	/** SHA-256 over service, group, method, path and body of the request, in hexadecimal. */
 	readonly digest: string;
 	readonly requestId: string;
 }
 
-/** Says what became of a claim. */
+/** Reports the outcome of a claimed request. */
 export interface OutcomeRequest extends LeaderRequest {
 	readonly key: string;
 	readonly requestId: string;
 	readonly outcome: OrderOutcome;
 }
 
-/** Whether it was recorded. */
+/** The response to an outcome report. */
 export interface OutcomeResponse {
+	/** Whether the outcome is committed to the replicated log. */
 	readonly isRecorded: boolean;
 }
 
-/** Claims a key at the leader. */
+/** Claims an order key; answered by the leader. */
 export const claimMethod = defineUnary<ClaimRequest, ClaimResult>('once', 'Claim');
-/** Records an outcome at the leader. */
+/** Records the outcome of a claim; answered by the leader. */
 export const outcomeMethod = defineUnary<OutcomeRequest, OutcomeResponse>('once', 'Outcome');
 
-/** Carries orders that must run at most once. */
-export interface IOnceOrders {
+/** Dispatches requests with an order key, each at most once. */
+export interface IAtMostOnceDispatch {
 	/**
-	 * Carries a request with an order key; one that ran before is answered from the record.
-	 * @throws RequestError before the sink was started
+	 * Claims the order key of the request, dispatches it and records its outcome. If it ran before, the recorded response
+	 * is replayed instead.
+	 * @throws RequestError when the claim is refused or the dispatch fails, before the sink was started
 	 */
-	carry(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult>;
+	dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult>;
 }
 
-/** Identifier of once-only orders. */
-export const IOnceOrders = createServiceIdentifier<IOnceOrders>('onceOrders');
+/** Service identifier of at-most-once dispatch. */
+export const IAtMostOnceDispatch = createServiceIdentifier<IAtMostOnceDispatch>('atMostOnceDispatch');
--- a/src/plugins/once/common/orderLedger.ts
+++ b/src/plugins/once/common/orderLedger.ts
@@ -3,10 +3,10 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The record of orders that must run at most once, as a part of the replicated state.
+ * Replicated record of order keys and of the outcomes of their requests.
  *
- * A claim belongs to the request that made it and never passes to another one by time alone: who cannot say what became
- * of it leaves it as it is, and whoever asks again is told that it may have run.
+ * A claim belongs to the request that made it and is not released by a timeout: until its outcome is known, other
+ * requests with the same key are refused, because it may have run. Keys are deleted after the retention period.
  */
 
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
@@ -16,33 +16,33 @@
 
 const DATE_LENGTH = 10;
 
-/** The answer of a target, kept for those who ask again. */
-export interface RecordedAnswer {
+/** The response of a target, replayed to later requests with the same key. */
+export interface RecordedResponse {
 	readonly status: number;
 	readonly headers: readonly string[];
-	/** Absent when it was larger than what is kept. */
+	/** Absent when it exceeded the maximum recorded size. */
 	readonly body?: Uint8Array;
 }
 
-/** What became of a claim. */
+/** The outcome of a claimed request. */
 export type OrderOutcome =
-	| { readonly kind: 'ran'; readonly answer: RecordedAnswer }
+	| { readonly kind: 'ran'; readonly answer: RecordedResponse }
 	| { readonly kind: 'not-run' }
 	| { readonly kind: 'unknown' };
 
-/** Claims a key before anything is sent to a target. */
+/** Claims an order key; committed before the request is sent to a target. */
 export interface ClaimCommand {
 	readonly type: 'claim';
 	readonly key: string;
-	/** SHA-256 over the whole request; another request under the same key is refused. */
+	/** SHA-256 of the request; a different request with the same key is refused. */
 	readonly digest: string;
-	/** The request that claims. */
+	/** The request that makes the claim. */
 	readonly requestId: string;
-	/** Keys with a date before this are forgotten and refused; `YYYY-MM-DD`. */
+	/** `YYYY-MM-DD`; keys with an earlier date are deleted, and claims for them refused. */
 	readonly oldestDate: string;
 }
 
-/** Records what became of a claim. */
+/** Records the outcome of a claim. */
 export interface OutcomeCommand {
 	readonly type: 'outcome';
 	readonly key: string;
@@ -50,34 +50,35 @@
 	readonly outcome: OrderOutcome;
 }
 
-/** Any command of this part. */
+/** A command of this replicated part. */
 export type OrderCommand = ClaimCommand | OutcomeCommand;
 
-/** The answer to a claim. */
+/** The result of a claim. */
 export type ClaimResult =
 	| { readonly kind: 'granted' }
-	| { readonly kind: 'ran'; readonly answer: RecordedAnswer }
+	| { readonly kind: 'ran'; readonly answer: RecordedResponse }
 	| { readonly kind: 'in-progress' }
 	| { readonly kind: 'unknown' }
 	| { readonly kind: 'conflict' }
 	| { readonly kind: 'too-old' }
-	/** Nobody could decide; nothing was claimed for certain, and nothing may be sent. */
+	/** No answer from the leader: it is unknown whether the key was claimed, and the request must not be sent. */
 	| { readonly kind: 'no-quorum' };
 
-/** One key. */
+/** The state of one order key. */
 interface OrderRecord {
 	readonly digest: string;
 	readonly requestId: string;
 	readonly state: 'claimed' | 'ran' | 'unknown';
-	readonly answer?: RecordedAnswer;
+	readonly answer?: RecordedResponse;
 }
 
-/** The keys of the days that are kept. */
+/** Order keys by date; see the head of this file. */
 export class OrderLedger implements IReplicatedPart {
 	readonly id = ORDER_PART;
+	/** Records by order key, by the date of the key. */
 	private readonly _days = new Map<string, Map<string, OrderRecord>>();
 
-	/** Number of keys held. */
+	/** Number of order keys stored. */
 	get size(): number {
 		return [...this._days.values()].reduce((sum, day) => sum + day.size, 0);
 	}
@@ -85,9 +86,9 @@
 	apply(body: unknown): ClaimResult | undefined {
 		const command = body as OrderCommand;
 		if (command.type === 'claim') {
-			return this._claim(command);
+			return this._applyClaim(command);
 		}
-		this._record(command);
+		this._applyOutcome(command);
 		return undefined;
 	}
 
@@ -102,25 +103,25 @@
 		}
 	}
 
-	private _claim(command: ClaimCommand): ClaimResult {
-		this._forgetBefore(command.oldestDate);
+	private _applyClaim(command: ClaimCommand): ClaimResult {
+		this._deleteDaysBefore(command.oldestDate);
 		const date = command.key.slice(0, DATE_LENGTH);
 		if (date < command.oldestDate) {
 			return { kind: 'too-old' };
 		}
-		const known = this._days.get(date)?.get(command.key);
-		if (known) {
-			return resultFor(known, command);
+		const existing = this._days.get(date)?.get(command.key);
+		if (existing) {
+			return claimResultFor(existing, command);
 		}
 		const { digest, requestId } = command;
-		this._dayOf(date).set(command.key, { digest, requestId, state: 'claimed' });
+		this._getOrCreateDay(date).set(command.key, { digest, requestId, state: 'claimed' });
 		return { kind: 'granted' };
 	}
 
-	private _record(command: OutcomeCommand): void {
+	private _applyOutcome(command: OutcomeCommand): void {
 		const day = this._days.get(command.key.slice(0, DATE_LENGTH));
-		const known = day?.get(command.key);
-		if (!day || !known || known.requestId !== command.requestId || known.state !== 'claimed') {
+		const existing = day?.get(command.key);
+		if (!day || !existing || existing.requestId !== command.requestId || existing.state !== 'claimed') {
 			return;
 		}
 		const { outcome } = command;
@@ -129,10 +130,10 @@
 			return;
 		}
 		const answer = outcome.kind === 'ran' ? outcome.answer : undefined;
-		day.set(command.key, { ...known, state: outcome.kind, answer });
+		day.set(command.key, { ...existing, state: outcome.kind, answer });
 	}
 
-	private _dayOf(date: string): Map<string, OrderRecord> {
+	private _getOrCreateDay(date: string): Map<string, OrderRecord> {
 		let day = this._days.get(date);
 		if (!day) {
 			day = new Map();
@@ -141,7 +142,7 @@
 		return day;
 	}
 
-	private _forgetBefore(oldestDate: string): void {
+	private _deleteDaysBefore(oldestDate: string): void {
 		for (const date of this._days.keys()) {
 			if (date < oldestDate) {
 				this._days.delete(date);
@@ -150,16 +151,16 @@
 	}
 }
 
-function resultFor(known: OrderRecord, command: ClaimCommand): ClaimResult {
-	if (known.digest !== command.digest) {
+function claimResultFor(existing: OrderRecord, command: ClaimCommand): ClaimResult {
+	if (existing.digest !== command.digest) {
 		return { kind: 'conflict' };
 	}
-	switch (known.state) {
+	switch (existing.state) {
 		case 'ran':
-			return { kind: 'ran', answer: known.answer! };
+			return { kind: 'ran', answer: existing.answer! };
 		case 'unknown':
 			return { kind: 'unknown' };
 		case 'claimed':
-			return { kind: known.requestId === command.requestId ? 'granted' : 'in-progress' };
+			return { kind: existing.requestId === command.requestId ? 'granted' : 'in-progress' };
 	}
 }
--- a/src/plugins/once/node/onceOrdersService.ts
+++ b/src/plugins/once/node/atMostOnceDispatchService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** An entry instance's side of once-only orders: claim, carry, record. */
+/** At-most-once dispatch on an entry instance: claims the order key, dispatches the request and records its outcome. */
 
 import { createHash } from 'node:crypto';
 import { RefusalReason, RequestError } from '../../../base/verdict.js';
@@ -17,22 +17,22 @@
 	type ResponseSink
 } from '../../dispatch/common/dispatch.js';
 import { ForwardingSink } from '../../dispatch/common/forwardingSink.js';
-import { claimMethod, type IOnceOrders, outcomeMethod } from '../common/onceOrders.js';
-import type { ClaimResult, OrderOutcome, RecordedAnswer } from '../common/orderLedger.js';
+import { claimMethod, type IAtMostOnceDispatch, outcomeMethod } from '../common/onceOrders.js';
+import type { ClaimResult, OrderOutcome, RecordedResponse } from '../common/orderLedger.js';
 
-const CLAIM_TIMEOUT_MS = 1500;
-const CLAIM_ATTEMPTS = 2;
-const OUTCOME_ATTEMPTS = 20;
-const OUTCOME_RETRY_MS = 500;
-const NO_QUORUM_RETRY_MS = 1000;
-const IN_PROGRESS_RETRY_MS = 500;
-/** A larger answer is not kept; who asks again only learns that the order ran. */
-const MAX_KEPT_BYTES = 16 * 1024;
+const CALL_TIMEOUT_MS = 1500;
+const MAX_CLAIM_ATTEMPTS = 2;
+const MAX_OUTCOME_ATTEMPTS = 20;
+const OUTCOME_RETRY_INTERVAL_MS = 500;
+const NO_QUORUM_RETRY_AFTER_MS = 1000;
+const IN_PROGRESS_RETRY_AFTER_MS = 500;
+/** Larger bodies are not recorded; later requests with the key then only learn that the request ran. */
+const MAX_RECORDED_BODY_BYTES = 16 * 1024;
 
-/** Once-only orders of one entry instance. */
-export class OnceOrdersService implements IOnceOrders {
+/** Claims order keys at control instances and dispatches the requests whose claims are granted. */
+export class AtMostOnceDispatchService implements IAtMostOnceDispatch {
 	private readonly _controls: readonly ControlPeerSettings[];
-	private _nextControl = 0;
+	private _controlIndex = 0;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
@@ -45,69 +45,72 @@
 		this._controls = controls.sort((a, b) => Number(b.hall === hall) - Number(a.hall === hall));
 	}
 
-	async carry(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
+	async dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
 		const claim = await this._claim(request);
 		if (claim.kind === 'ran') {
-			return replay(claim.answer, sink);
+			return replayResponse(claim.answer, sink);
 		}
 		if (claim.kind !== 'granted') {
-			throw refusalOf(claim);
+			throw claimError(claim);
 		}
-		const recorder = new AnswerRecorder(sink);
+		const recorder = new ResponseRecorder(sink);
 		try {
 			const result = await this._dispatch.dispatch(request, recorder);
-			void this._record(request, { kind: 'ran', answer: recorder.answer() });
+			void this._recordOutcome(request, { kind: 'ran', answer: recorder.recordedResponse() });
 			return result;
 		} catch (error) {
 			const isNotRun = error instanceof RequestError && error.verdict === 'not-run';
-			void this._record(request, { kind: isNotRun ? 'not-run' : 'unknown' });
+			void this._recordOutcome(request, { kind: isNotRun ? 'not-run' : 'unknown' });
 			throw error;
 		}
 	}
 
 	private async _claim(request: CarriedRequest): Promise<ClaimResult> {
 		const { orderKey: key, requestId } = request;
-		const message = { key: key!, digest: digestOf(request), requestId };
-		let isUnsure = false;
-		for (let attempt = 0; attempt < CLAIM_ATTEMPTS; attempt++) {
-			const control = this._controls[this._nextControl % this._controls.length]!;
+		const message = { key: key!, digest: requestDigest(request), requestId };
+		let mayBeClaimed = false;
+		for (let attempt = 0; attempt < MAX_CLAIM_ATTEMPTS; attempt++) {
+			const control = this._controls[this._controlIndex % this._controls.length]!;
 			try {
-				const result = await this._wire.call(control.address, claimMethod, message, CLAIM_TIMEOUT_MS);
+				const result = await this._wire.call(control.address, claimMethod, message, CALL_TIMEOUT_MS);
 				if (result.kind !== 'no-quorum') {
 					return result;
 				}
-				isUnsure = true;
+				mayBeClaimed = true;
 			} catch {
-				isUnsure = true;
+				mayBeClaimed = true;
 			}
-			this._nextControl++;
+			this._controlIndex++;
 		}
-		if (isUnsure) {
-			void this._record(request, { kind: 'not-run' });
+		if (mayBeClaimed) {
+			void this._recordOutcome(request, { kind: 'not-run' });
 		}
 		return { kind: 'no-quorum' };
 	}
 
-	/** Goes on trying for a while; an outcome that is never recorded leaves the claim as it is, which is safe. */
-	private async _record(request: CarriedRequest, outcome: OrderOutcome): Promise<void> {
+	/** Retries a limited number of times. A claim without an outcome stays claimed, so that its request is not run again. */
+	private async _recordOutcome(request: CarriedRequest, outcome: OrderOutcome): Promise<void> {
 		const message = { key: request.orderKey!, requestId: request.requestId, outcome };
-		for (let attempt = 0; attempt < OUTCOME_ATTEMPTS; attempt++) {
-			const control = this._controls[this._nextControl % this._controls.length]!;
+		for (let attempt = 0; attempt < MAX_OUTCOME_ATTEMPTS; attempt++) {
+			const control = this._controls[this._controlIndex % this._controls.length]!;
 			try {
-				const answer = await this._wire.call(control.address, outcomeMethod, message, CLAIM_TIMEOUT_MS);
-				if (answer.isRecorded) {
+				const response = await this._wire.call(control.address, outcomeMethod, message, CALL_TIMEOUT_MS);
+				if (response.isRecorded) {
 					return;
 				}
 			} catch {
-				this._nextControl++;
+				this._controlIndex++;
 			}
-			await new Promise(resolve => setTimeout(resolve, OUTCOME_RETRY_MS));
+			await new Promise(resolve => setTimeout(resolve, OUTCOME_RETRY_INTERVAL_MS));
 		}
-		this._log.warn('outcome of an order not recorded', { task: 'once', requestId: request.requestId });
+		this._log.warn('cannot record the outcome of a request with an order key', {
+			task: 'once',
+			requestId: request.requestId
+		});
 	}
 }
 
-function digestOf(request: CarriedRequest): string {
+function requestDigest(request: CarriedRequest): string {
 	const { service, group, method, path, body } = request;
 	return createHash('sha256')
 		.update(JSON.stringify([service, group, method, path]))
@@ -115,9 +118,9 @@
 		.digest('hex');
 }
 
-function replay(answer: RecordedAnswer, sink: ResponseSink): DispatchResult {
+function replayResponse(answer: RecordedResponse, sink: ResponseSink): DispatchResult {
 	if (!answer.body) {
-		const message = 'the order ran; its answer was too large to be kept';
+		const message = 'the request with this key ran; its response was too large to be recorded';
 		throw new RequestError('ran', RefusalReason.AnswerNotKept, 409, message);
 	}
 	sink.start(answer.status, [...answer.headers, 'Shelffield-Replayed', 'true']);
@@ -126,40 +129,40 @@
 	return { target: '', status: answer.status, totalMs: 0, queuedMs: 0 };
 }
 
-function refusalOf(claim: ClaimResult): RequestError {
+function claimError(claim: ClaimResult): RequestError {
 	switch (claim.kind) {
 		case 'in-progress': {
-			const message = 'an order with this key is under way';
-			return new RequestError('may-have-run', RefusalReason.OrderInProgress, 409, message, IN_PROGRESS_RETRY_MS);
+			const message = 'a request with this key is in progress, or its outcome is not recorded yet';
+			return new RequestError('may-have-run', RefusalReason.OrderInProgress, 409, message, IN_PROGRESS_RETRY_AFTER_MS);
 		}
 		case 'unknown': {
-			const message = 'it is not known whether the order with this key ran';
+			const message = 'it is not known whether the request with this key ran';
 			return new RequestError('may-have-run', RefusalReason.OrderOutcomeUnknown, 409, message);
 		}
 		case 'conflict': {
-			const message = 'Shelffield-Order-Key was used for another request; allowed: a key of its own for each order';
+			const message =
+				'Shelffield-Order-Key was used for a different request; allowed: a key not used for another request';
 			return new RequestError('not-run', RefusalReason.OrderKeyConflict, 422, message);
 		}
 		case 'too-old': {
-			const message = 'the date of Shelffield-Order-Key is older than the keys that are kept';
+			const message = 'the date of Shelffield-Order-Key is before the retention period of order keys';
 			return new RequestError('not-run', RefusalReason.OrderKeyTooOld, 422, message);
 		}
 		default: {
-			const message = 'orders cannot be recorded now';
-			return new RequestError('not-run', RefusalReason.NoQuorum, 503, message, NO_QUORUM_RETRY_MS);
+			const message = 'cannot claim the order key: no leader with a quorum could be reached';
+			return new RequestError('not-run', RefusalReason.NoQuorum, 503, message, NO_QUORUM_RETRY_AFTER_MS);
 		}
 	}
 }
 
-/** Passes an answer on and keeps a copy of it up to a size. */
-class AnswerRecorder extends ForwardingSink {
+/** Forwards a response and records it; a body of more than `MAX_RECORDED_BODY_BYTES` is left out. */
+class ResponseRecorder extends ForwardingSink {
 	private _status = 0;
 	private _headers: readonly string[] = [];
 	private _chunks: Buffer[] | undefined = [];
 	private _bytes = 0;
 
-	/** The answer, as it is to be kept. */
-	answer(): RecordedAnswer {
+	recordedResponse(): RecordedResponse {
 		const body = this._chunks && Buffer.concat(this._chunks);
 		return { status: this._status, headers: this._headers, body };
 	}
@@ -172,7 +175,7 @@
 
 	override write(chunk: Buffer): boolean {
 		this._bytes += chunk.length;
-		this._chunks = this._bytes > MAX_KEPT_BYTES ? undefined : this._chunks;
+		this._chunks = this._bytes > MAX_RECORDED_BODY_BYTES ? undefined : this._chunks;
 		this._chunks?.push(Buffer.from(chunk));
 		return super.write(chunk);
 	}
--- a/src/plugins/once/node/orderService.ts
+++ b/src/plugins/once/node/orderLedgerService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Control's side of once-only orders: claims and outcomes go through the replicated log. */
+/** Order keys on a control instance: proposes claims and outcomes to the replicated log. */
 
 import { systemClock } from '../../../base/clock.js';
 import { type IContribution, ProcessKind } from '../../../kernel/common/pluginRegistry.js';
@@ -30,33 +30,33 @@
 	name: 'orders',
 	named: false,
 	kinds: [ProcessKind.Control],
-	description: 'Orders that must run at most once.',
+	description: 'Keys of requests that must run at most once.',
 	keys: {
 		keepDays: {
 			schema: integerSchema(1, 400),
-			description: 'Days for which order keys are kept; older keys are refused, 1 to 400.',
+			description: 'Retention of order keys in days, 1 to 400; older keys are refused.',
 			default: '7'
 		}
 	}
 });
 
-/** Claims at one control instance. */
-export class OrderService implements IContribution {
+/** Handles claims and outcomes forwarded to the leader. */
+export class OrderLedgerService implements IContribution {
 	private readonly _ledger = new OrderLedger();
 	private readonly _keepDays: number;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IAgreement private readonly _agreement: IAgreement,
-		@ILeaderGate gate: ILeaderGate
+		@ILeaderGate leaderForwarder: ILeaderGate
 	) {
 		this._keepDays = settings.section<OrderSettings>('orders').keepDays;
 		this._agreement.addPart(this._ledger);
-		gate.handle(claimMethod, request => this._claim(request), { kind: 'no-quorum' });
-		gate.handle(outcomeMethod, request => this._record(request), { isRecorded: false });
+		leaderForwarder.handle(claimMethod, request => this._claim(request), { kind: 'no-quorum' });
+		leaderForwarder.handle(outcomeMethod, request => this._recordOutcome(request), { isRecorded: false });
 	}
 
-	/** Nothing to do: the handlers stand once it is created. */
+	/** Does nothing: the constructor registers the handlers. */
 	async start(): Promise<void> {}
 
 	private async _claim(request: ClaimRequest): Promise<ClaimResult> {
@@ -71,7 +71,7 @@
 		}
 	}
 
-	private async _record(request: OutcomeRequest): Promise<{ isRecorded: boolean }> {
+	private async _recordOutcome(request: OutcomeRequest): Promise<{ isRecorded: boolean }> {
 		const { key, requestId, outcome } = request;
 		const body: OutcomeCommand = { type: 'outcome', key, requestId, outcome };
 		try {
--- a/src/plugins/once/once.plugin.ts
+++ b/src/plugins/once/once.plugin.ts
@@ -2,12 +2,12 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers once-only orders. */
+/** Registers at-most-once dispatch of requests with an order key. */
 
 import { ContributionPhase, pluginRegistry, ProcessKind } from '../../kernel/common/pluginRegistry.js';
-import { IOnceOrders } from './common/onceOrders.js';
-import { OnceOrdersService } from './node/onceOrdersService.js';
-import { OrderService } from './node/orderService.js';
+import { IAtMostOnceDispatch } from './common/onceOrders.js';
+import { AtMostOnceDispatchService } from './node/atMostOnceDispatchService.js';
+import { OrderLedgerService } from './node/orderLedgerService.js';
 
-pluginRegistry.registerSingleton(IOnceOrders, OnceOrdersService);
-pluginRegistry.registerContribution([ProcessKind.Control], ContributionPhase.Service, OrderService);
+pluginRegistry.registerSingleton(IAtMostOnceDispatch, AtMostOnceDispatchService);
+pluginRegistry.registerContribution([ProcessKind.Control], ContributionPhase.Service, OrderLedgerService);
