--- a/src/plugins/ownership/common/ownershipLease.ts
+++ b/src/plugins/ownership/common/ownershipLease.ts
@@ -3,82 +3,85 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Who may dispatch to the targets of a data hall: a lease kept inside the hall, with control as the other witness.
+ * The lease under which an entry instance dispatches to targets of its data hall, so that no two instances dispatch to
+ * the same target at a time.
  *
- * An instance uses its own targets while control renews it, or while every sibling promises not to take over; alone in
- * its hall it needs neither. It uses a sibling's targets only after control recorded a takeover, while control renews
- * itself, and only once what the sibling had outstanding must have ended. Pure: time is passed in.
+ * An instance may use its own targets while control renews its lease, or while every sibling (the other entry instances
+ * of the hall) has promised not to take over; without siblings it needs neither. It may use the targets of a sibling
+ * once control has recorded the takeover and the sibling's outstanding requests must have ended, while control renews
+ * its lease. Has no side effects; callers pass the current time.
  */
 
 import type { Millis } from '../../../base/clock.js';
 
-/** How long a promise or a renewal holds from the moment it was asked for. */
+/**
+ * How long a renewal or a promise is valid. The requester counts from sending its request, the grantor from receiving it,
+ * so that the requester's view expires first.
+ */
 export const OWNERSHIP_LEASE_MS = 2000;
 
-/** A sibling's targets, taken over. */
+/** A takeover of the targets of a sibling. */
 interface Takeover {
-	/** When its last requests must have ended. */
+	/** When the sibling's outstanding requests must have ended. */
 	readonly usableAt: Millis;
 }
 
-/** The lease of one instance. */
+/** The lease of one instance; see the head of this file. */
 export class OwnershipLease {
 	private _renewedUntil = Number.NEGATIVE_INFINITY;
-	private readonly _promisedUntil = new Map<string, Millis>();
-	private readonly _promisedToOthers = new Map<string, Millis>();
+	private readonly _receivedPromisesUntil = new Map<string, Millis>();
+	private readonly _grantedPromisesUntil = new Map<string, Millis>();
 	private readonly _takeovers = new Map<string, Takeover>();
 
 	/** @param _siblings the other instances of the data hall */
 	constructor(private readonly _siblings: readonly string[]) {}
 
-	/** Control renewed the lease; `askedAt` is when the question was sent. */
-	renew(askedAt: Millis): void {
-		this._renewedUntil = Math.max(this._renewedUntil, askedAt + OWNERSHIP_LEASE_MS);
+	/** Records that control renewed the lease. */
+	renew(requestSentAt: Millis): void {
+		this._renewedUntil = Math.max(this._renewedUntil, requestSentAt + OWNERSHIP_LEASE_MS);
 	}
 
-	/** A sibling promised not to take over; `askedAt` is when the question was sent. */
-	takePromise(sibling: string, askedAt: Millis): void {
-		const before = this._promisedUntil.get(sibling) ?? Number.NEGATIVE_INFINITY;
-		this._promisedUntil.set(sibling, Math.max(before, askedAt + OWNERSHIP_LEASE_MS));
+	/** Records that a sibling promised not to take over the targets of this instance. */
+	recordPromise(sibling: string, requestSentAt: Millis): void {
+		const previous = this._receivedPromisesUntil.get(sibling) ?? Number.NEGATIVE_INFINITY;
+		this._receivedPromisesUntil.set(sibling, Math.max(previous, requestSentAt + OWNERSHIP_LEASE_MS));
 	}
 
-	/** A sibling asks for a promise; refused while its targets are taken over here. */
-	givePromise(sibling: string, now: Millis): boolean {
+	/** Grants a sibling the promise not to take over; false, and no promise, while its targets are taken over. */
+	grantPromise(sibling: string, now: Millis): boolean {
 		if (this._takeovers.has(sibling)) {
 			return false;
 		}
-		this._promisedToOthers.set(sibling, now + OWNERSHIP_LEASE_MS);
+		this._grantedPromisesUntil.set(sibling, now + OWNERSHIP_LEASE_MS);
 		return true;
 	}
 
-	/** Whether this instance may use its own targets. */
-	holdsOwn(now: Millis): boolean {
-		return now < this._renewedUntil || this._siblings.every(name => now < (this._promisedUntil.get(name) ?? 0));
+	mayUseOwnTargets(now: Millis): boolean {
+		return now < this._renewedUntil || this._siblings.every(name => now < (this._receivedPromisesUntil.get(name) ?? 0));
 	}
 
-	/** Whether control may be asked for a sibling's targets: the promise given to it has run out. */
-	mayAskTakeover(sibling: string, now: Millis): boolean {
-		const hasPromised = now < (this._promisedToOthers.get(sibling) ?? 0);
-		return !hasPromised && !this._takeovers.has(sibling) && now < this._renewedUntil;
+	/** Whether a takeover may be requested: no unexpired promise to the sibling, and the own lease is renewed by control. */
+	mayRequestTakeover(sibling: string, now: Millis): boolean {
+		const hasGrantedPromise = now < (this._grantedPromisesUntil.get(sibling) ?? 0);
+		return !hasGrantedPromise && !this._takeovers.has(sibling) && now < this._renewedUntil;
 	}
 
-	/** Control recorded the takeover. */
-	takeOver(sibling: string, usableAt: Millis): void {
+	/** Records a takeover that control has committed; its targets may be used from `usableAt` on. */
+	recordTakeover(sibling: string, usableAt: Millis): void {
 		this._takeovers.set(sibling, { usableAt });
 	}
 
-	/** The sibling is back; its targets are no longer used here. */
-	giveBack(sibling: string): void {
+	/** Ends a takeover because the sibling has returned. */
+	endTakeover(sibling: string): void {
 		this._takeovers.delete(sibling);
 	}
 
-	/** Whether a sibling's targets are taken over here, usable yet or not. */
+	/** Whether the targets of a sibling are taken over, even if they may not be used yet. */
 	hasTakenOver(sibling: string): boolean {
 		return this._takeovers.has(sibling);
 	}
 
-	/** Whether a sibling's targets may be used here now. */
-	holdsOf(sibling: string, now: Millis): boolean {
+	mayUseTargetsOf(sibling: string, now: Millis): boolean {
 		const takeover = this._takeovers.get(sibling);
 		return takeover !== undefined && now >= takeover.usableAt && now < this._renewedUntil;
 	}
--- a/src/plugins/ownership/common/ownershipWire.ts
+++ b/src/plugins/ownership/common/ownershipWire.ts
@@ -2,40 +2,39 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The methods of the ownership of targets. */
+/** Peer methods for the ownership of targets. */
 
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 
-/** An instance asks control to renew its lease, or for a takeover. */
+/** Renews the lease of an entry instance at control, and requests or ends a takeover. */
 export interface RenewRequest {
 	readonly instance: string;
-	/** A sibling whose targets it asks for. */
+	/** The sibling whose targets the instance requests to take over. */
 	readonly takeOver?: string;
-	/** A sibling whose targets it gives back. */
+	/** The sibling whose targets the instance returns; `takeOver` is then ignored. */
 	readonly giveBack?: string;
-	/** Set when one control instance hands the request to the leader. */
+	/** Set when a control instance forwards the request to the leader. */
 	readonly isForwarded?: boolean;
 }
 
-/** Control's answer. */
+/** The response of the leader to a renewal. */
 export interface RenewResponse {
-	/** Whether the lease is renewed. */
 	readonly isRenewed: boolean;
-	/** Whether the takeover or the giving back is recorded. */
+	/** Whether the requested takeover, or its end, is committed to the replicated log. */
 	readonly isRecorded: boolean;
 }
 
-/** An instance asks a sibling not to take over its targets. */
+/** Asks a sibling to promise not to take over the targets of the instance. */
 export interface PromiseRequest {
 	readonly instance: string;
 }
 
-/** The sibling's answer. */
+/** The response of a sibling to a promise request. */
 export interface PromiseResponse {
 	readonly isPromised: boolean;
 }
 
-/** Renews a lease at control. */
+/** Renews a lease; called by entry instances, answered by the leader. */
 export const renewMethod = defineUnary<RenewRequest, RenewResponse>('ownership', 'Renew');
-/** Asks a sibling for its promise. */
+/** Requests the promise of a sibling not to take over. */
 export const promiseMethod = defineUnary<PromiseRequest, PromiseResponse>('ownership', 'Promise');
--- a/src/plugins/ownership/common/takeoverState.ts
+++ b/src/plugins/ownership/common/takeoverState.ts
@@ -2,54 +2,56 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The recorded takeovers, as a part of the replicated state: a new leader knows them at once. */
+/** Takeovers of targets, replicated so that they survive a change of the leader. */
 
 import type { IReplicatedPart } from '../../agreement/common/replicatedState.js';
 
 /** Id of the replicated part. */
 export const TAKEOVER_PART = 'takeover';
 
-/** Records or ends a takeover. */
+/** Starts or ends the takeover of the targets of the instance `of` by its sibling `by`. */
 export type TakeoverCommand =
 	| { readonly type: 'takeOver'; readonly of: string; readonly by: string }
 	| { readonly type: 'giveBack'; readonly of: string; readonly by: string };
 
-/** Whether a command took effect. */
+/** The result of applying a command. */
 export interface TakeoverResult {
+	/** False when the targets are already taken over by another instance. */
 	readonly ok: boolean;
 }
 
-/** Takeovers by the instance whose targets they are. */
+/** The takeovers in force. */
 export class TakeoverState implements IReplicatedPart {
 	readonly id = TAKEOVER_PART;
-	private _takers = new Map<string, string>();
+	/** The sibling that has taken over, by the instance whose targets it has. */
+	private _takenOverBy = new Map<string, string>();
 
-	/** Who has the targets of an instance, when it is not that instance. */
-	takerOf(instance: string): string | undefined {
-		return this._takers.get(instance);
+	/** The sibling that has taken over the targets of an instance; undefined when there is none. */
+	takenOverBy(instance: string): string | undefined {
+		return this._takenOverBy.get(instance);
 	}
 
 	apply(body: unknown): TakeoverResult {
 		const command = body as TakeoverCommand;
-		const taker = this._takers.get(command.of);
+		const takenOverBy = this._takenOverBy.get(command.of);
 		if (command.type === 'takeOver') {
-			const ok = taker === undefined || taker === command.by;
+			const ok = takenOverBy === undefined || takenOverBy === command.by;
 			if (ok) {
-				this._takers.set(command.of, command.by);
+				this._takenOverBy.set(command.of, command.by);
 			}
 			return { ok };
 		}
-		if (taker === command.by) {
-			this._takers.delete(command.of);
+		if (takenOverBy === command.by) {
+			this._takenOverBy.delete(command.of);
 		}
 		return { ok: true };
 	}
 
 	save(): unknown {
-		return [...this._takers];
+		return [...this._takenOverBy];
 	}
 
 	restore(saved: unknown): void {
-		this._takers = new Map(saved as [string, string][]);
+		this._takenOverBy = new Map(saved as [string, string][]);
 	}
 }
--- a/src/plugins/ownership/node/hallOwnershipTask.ts
+++ b/src/plugins/ownership/node/hallOwnershipTask.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The entry instance's side: keeps the lease on its own targets and takes over those of a sibling that is gone. */
+/** Target ownership on an entry instance: renews the lease on its own targets and takes over those of failed siblings. */
 
 import { systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
@@ -19,13 +19,13 @@
 const RENEW_INTERVAL_MS = 400;
 const PROMISE_INTERVAL_MS = 400;
 const CALL_TIMEOUT_MS = 1000;
-/** After a sibling's process is gone its connections to targets are closed; the targets notice within this. */
-const GONE_WAIT_MS = 500;
-/** A sibling that only fell silent may have requests running until their deadline. */
-const SILENT_WAIT_MS = 10000;
-const REFUSED_PATTERN = /ECONNREFUSED/;
+/** How long targets may take to detect the closed connections of a sibling whose process has stopped. */
+const STOPPED_SIBLING_WAIT_MS = 500;
+/** How long the targets of an unreachable sibling stay unused, as its process may still have outstanding requests. */
+const UNREACHABLE_SIBLING_WAIT_MS = 10000;
+const CONNECTION_REFUSED_PATTERN = /ECONNREFUSED/;
 
-/** Ownership by rendezvous hashing within the data hall, under a lease. */
+/** Assigns the targets of the data hall to its entry instances by rendezvous hashing; each owner needs a valid lease. */
 export class HallOwnershipTask extends Disposable implements ITargetOwnership {
 	private readonly _onDidChange = this._register(new Emitter<void>());
 	readonly onDidChange = this._onDidChange.event;
@@ -33,10 +33,12 @@
 	private readonly _siblings: ReadonlyMap<string, { readonly address: string }>;
 	private readonly _controls: readonly ControlPeerSettings[];
 	private readonly _lease: OwnershipLease;
-	private readonly _owners = new Map<string, string>();
-	private readonly _refused = new Set<string>();
-	private _nextControl = 0;
-	private _toGiveBack: string | undefined;
+	private readonly _ownersByTarget = new Map<string, string>();
+	/** Siblings whose last call failed because the connection was refused, so that their process has stopped. */
+	private readonly _connectionRefusedBy = new Set<string>();
+	private _controlIndex = 0;
+	/** A returned sibling whose takeover control has not yet recorded as ended. */
+	private _pendingGiveBack: string | undefined;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
@@ -50,105 +52,111 @@
 		const controls = [...settings.namedSections<ControlPeerSettings>('control').values()];
 		this._controls = controls.sort((a, b) => Number(b.hall === hall) - Number(a.hall === hall));
 		this._lease = new OwnershipLease([...this._siblings.keys()]);
-		this._wire.handleUnary(promiseMethod, async request => this._onPromise(request.instance));
+		this._wire.handleUnary(promiseMethod, async request => this._handlePromiseRequest(request.instance));
 	}
 
-	/** Starts asking; an instance alone in its data hall has nobody to ask. */
+	/** Starts the renewals and promise requests; an instance without siblings needs none. */
 	start(): void {
 		if (this._siblings.size === 0) {
 			return;
 		}
-		void this._repeat(RENEW_INTERVAL_MS, () => this._renew());
+		void this._repeat(RENEW_INTERVAL_MS, () => this._renewLease());
 		for (const [name, { address }] of this._siblings) {
-			void this._repeat(PROMISE_INTERVAL_MS, () => this._askPromise(name, address));
+			void this._repeat(PROMISE_INTERVAL_MS, () => this._requestPromise(name, address));
 		}
 	}
 
 	owns(target: string): boolean {
 		const owner = this._ownerOf(target);
 		const now = systemClock.now();
-		return owner === this._self ? this._lease.holdsOwn(now) : this._lease.holdsOf(owner, now);
+		return owner === this._self ? this._lease.mayUseOwnTargets(now) : this._lease.mayUseTargetsOf(owner, now);
 	}
 
 	private _ownerOf(target: string): string {
-		let owner = this._owners.get(target);
+		let owner = this._ownersByTarget.get(target);
 		if (owner === undefined) {
 			owner = rendezvousRank(target, [this._self, ...this._siblings.keys()])[0]!;
-			this._owners.set(target, owner);
+			this._ownersByTarget.set(target, owner);
 		}
 		return owner;
 	}
 
-	private async _repeat(intervalMs: number, act: () => Promise<void>): Promise<void> {
+	private async _repeat(intervalMs: number, action: () => Promise<void>): Promise<void> {
 		let isStopped = false;
 		this._register(toDisposable(() => (isStopped = true)));
 		while (!isStopped) {
 			const startedAt = systemClock.now();
-			await act();
+			await action();
 			this._onDidChange.fire();
-			const leftMs = Math.max(0, intervalMs - (systemClock.now() - startedAt));
-			await new Promise(resolve => setTimeout(resolve, leftMs));
+			const delayMs = Math.max(0, intervalMs - (systemClock.now() - startedAt));
+			await new Promise(resolve => setTimeout(resolve, delayMs));
 		}
 	}
 
-	private async _renew(): Promise<void> {
+	private async _renewLease(): Promise<void> {
 		const now = systemClock.now();
-		const takeOver = [...this._siblings.keys()].find(name => this._lease.mayAskTakeover(name, now));
-		const giveBack = this._toGiveBack;
+		const takeOver = [...this._siblings.keys()].find(name => this._lease.mayRequestTakeover(name, now));
+		const giveBack = this._pendingGiveBack;
 		const request: RenewRequest = { instance: this._self, giveBack, takeOver: giveBack ? undefined : takeOver };
-		const control = this._controls[this._nextControl % this._controls.length]!;
+		const control = this._controls[this._controlIndex % this._controls.length]!;
 		try {
-			const answer = await this._wire.call(control.address, renewMethod, request, CALL_TIMEOUT_MS);
-			if (answer.isRenewed) {
+			const response = await this._wire.call(control.address, renewMethod, request, CALL_TIMEOUT_MS);
+			if (response.isRenewed) {
 				this._lease.renew(now);
 			}
-			if (giveBack && answer.isRecorded) {
-				this._toGiveBack = undefined;
-			} else if (takeOver && answer.isRecorded) {
-				this._takeOver(takeOver);
+			if (giveBack && response.isRecorded) {
+				this._pendingGiveBack = undefined;
+			} else if (takeOver && response.isRecorded) {
+				this._startTakeover(takeOver);
 			}
-			if (!answer.isRenewed) {
-				this._nextControl++;
+			if (!response.isRenewed) {
+				this._controlIndex++;
 			}
 		} catch {
-			this._nextControl++;
+			this._controlIndex++;
 		}
 	}
 
-	private _takeOver(sibling: string): void {
-		const isGone = this._refused.has(sibling);
-		this._lease.takeOver(sibling, systemClock.now() + (isGone ? GONE_WAIT_MS : SILENT_WAIT_MS));
-		this._log.info('takes over targets of a sibling', { task: 'ownership', sibling, isGone });
+	private _startTakeover(sibling: string): void {
+		const isGone = this._connectionRefusedBy.has(sibling);
+		this._lease.recordTakeover(
+			sibling,
+			systemClock.now() + (isGone ? STOPPED_SIBLING_WAIT_MS : UNREACHABLE_SIBLING_WAIT_MS)
+		);
+		this._log.info('takeover of the targets of a sibling recorded', { task: 'ownership', sibling, isGone });
 	}
 
-	private async _askPromise(sibling: string, address: string): Promise<void> {
-		const askedAt = systemClock.now();
+	private async _requestPromise(sibling: string, address: string): Promise<void> {
+		const requestSentAt = systemClock.now();
 		try {
-			const answer = await this._wire.call(address, promiseMethod, { instance: this._self }, CALL_TIMEOUT_MS);
-			this._refused.delete(sibling);
-			if (answer.isPromised) {
-				this._lease.takePromise(sibling, askedAt);
+			const response = await this._wire.call(address, promiseMethod, { instance: this._self }, CALL_TIMEOUT_MS);
+			this._connectionRefusedBy.delete(sibling);
+			if (response.isPromised) {
+				this._lease.recordPromise(sibling, requestSentAt);
 			}
 		} catch (error) {
-			if (REFUSED_PATTERN.test((error as Error).message)) {
-				this._refused.add(sibling);
+			if (CONNECTION_REFUSED_PATTERN.test((error as Error).message)) {
+				this._connectionRefusedBy.add(sibling);
 			} else {
-				this._refused.delete(sibling);
+				this._connectionRefusedBy.delete(sibling);
 			}
 		}
 	}
 
-	/** A sibling is there: if its targets are taken over, they go back to it, and it is promised to the next time. */
-	private _onPromise(sibling: string): { isPromised: boolean } {
+	/**
+	 * Handles the promise request of a sibling. If its targets are taken over, the takeover ends, and the promise is
+	 * refused until control has recorded that.
+	 */
+	private _handlePromiseRequest(sibling: string): { isPromised: boolean } {
 		if (this._lease.hasTakenOver(sibling)) {
-			this._lease.giveBack(sibling);
-			this._toGiveBack = sibling;
+			this._lease.endTakeover(sibling);
+			this._pendingGiveBack = sibling;
 			this._onDidChange.fire();
 			return { isPromised: false };
 		}
-		if (this._toGiveBack === sibling) {
+		if (this._pendingGiveBack === sibling) {
 			return { isPromised: false };
 		}
-		return { isPromised: this._lease.givePromise(sibling, systemClock.now()) };
+		return { isPromised: this._lease.grantPromise(sibling, systemClock.now()) };
 	}
 }
--- a/src/plugins/ownership/node/takeoverService.ts
+++ b/src/plugins/ownership/node/takeoverService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Control's side: renews the leases of entry instances and records takeovers of those that fell silent. */
+/** Target ownership on a control instance: renews leases and records takeovers from instances whose lease has expired. */
 
 import { systemClock } from '../../../base/clock.js';
 import { Disposable } from '../../../base/disposable.js';
@@ -13,18 +13,18 @@
 import { renewMethod, type RenewRequest, type RenewResponse } from '../common/ownershipWire.js';
 import { TAKEOVER_PART, type TakeoverCommand, type TakeoverResult, TakeoverState } from '../common/takeoverState.js';
 
-/** Beyond the lease, for clocks that do not run quite alike. */
-const MARGIN_MS = 200;
-const NOTHING: RenewResponse = { isRenewed: false, isRecorded: false };
+/** Added to the lease duration to allow for differences in clock rates. */
+const CLOCK_DRIFT_MARGIN_MS = 200;
+const NOT_RENEWED: RenewResponse = { isRenewed: false, isRecorded: false };
 
-/** Renewals and takeovers at one control instance; only the leader grants. */
+/** Handles renewals and takeover requests; only the leader grants them. */
 export class TakeoverService extends Disposable {
 	private readonly _state = new TakeoverState();
-	private readonly _renewedAt = new Map<string, number>();
+	private readonly _lastRenewedAt = new Map<string, number>();
 	private _leaderSince = Number.POSITIVE_INFINITY;
 
 	constructor(
-		@ILeaderGate gate: ILeaderGate,
+		@ILeaderGate leaderForwarder: ILeaderGate,
 		@IAgreement private readonly _agreement: IAgreement,
 		@ILogService private readonly _log: ILogService
 	) {
@@ -33,46 +33,49 @@
 		this._register(
 			this._agreement.onDidChangeLeadership(isLeader => {
 				this._leaderSince = isLeader ? systemClock.now() : Number.POSITIVE_INFINITY;
-				this._renewedAt.clear();
+				this._lastRenewedAt.clear();
 			})
 		);
-		gate.handle(renewMethod, request => this._decide(request), NOTHING);
+		leaderForwarder.handle(renewMethod, request => this._handleRenewal(request), NOT_RENEWED);
 	}
 
-	private async _decide(request: RenewRequest): Promise<RenewResponse> {
+	private async _handleRenewal(request: RenewRequest): Promise<RenewResponse> {
 		const { instance, takeOver, giveBack } = request;
-		const taker = this._state.takerOf(instance);
-		if (taker !== undefined) {
-			await this._endTakeoverOfSilentTaker(instance, taker);
+		const takenOverBy = this._state.takenOverBy(instance);
+		if (takenOverBy !== undefined) {
+			await this._endTakeoverIfExpired(instance, takenOverBy);
 		}
-		const isRenewed = this._state.takerOf(instance) === undefined;
+		const isRenewed = this._state.takenOverBy(instance) === undefined;
 		if (isRenewed) {
-			this._renewedAt.set(instance, systemClock.now());
+			this._lastRenewedAt.set(instance, systemClock.now());
 		}
 		let isRecorded = false;
 		if (giveBack !== undefined) {
-			isRecorded = await this._record({ type: 'giveBack', of: giveBack, by: instance });
-		} else if (takeOver !== undefined && isRenewed && this._isSilent(takeOver)) {
-			isRecorded = await this._record({ type: 'takeOver', of: takeOver, by: instance });
-			this._log.info('targets taken over', { task: 'ownership', of: takeOver, by: instance, isRecorded });
+			isRecorded = await this._propose({ type: 'giveBack', of: giveBack, by: instance });
+		} else if (takeOver !== undefined && isRenewed && this._isLeaseExpired(takeOver)) {
+			isRecorded = await this._propose({ type: 'takeOver', of: takeOver, by: instance });
+			this._log.info('takeover requested', { task: 'ownership', of: takeOver, by: instance, isRecorded });
 		}
 		return { isRenewed, isRecorded };
 	}
 
-	/** Whether an instance's lease has surely run out: no renewal here, nor by the leader before. */
-	private _isSilent(instance: string): boolean {
+	/** Whether the lease of an instance has expired, even if the previous leader renewed it right before it lost leadership. */
+	private _isLeaseExpired(instance: string): boolean {
 		const now = systemClock.now();
-		const lastPossible = Math.max(this._renewedAt.get(instance) ?? Number.NEGATIVE_INFINITY, this._leaderSince);
-		return now - lastPossible > OWNERSHIP_LEASE_MS + MARGIN_MS;
+		const lastPossibleRenewalAt = Math.max(
+			this._lastRenewedAt.get(instance) ?? Number.NEGATIVE_INFINITY,
+			this._leaderSince
+		);
+		return now - lastPossibleRenewalAt > OWNERSHIP_LEASE_MS + CLOCK_DRIFT_MARGIN_MS;
 	}
 
-	private async _endTakeoverOfSilentTaker(instance: string, taker: string): Promise<void> {
-		if (this._isSilent(taker)) {
-			await this._record({ type: 'giveBack', of: instance, by: taker });
+	private async _endTakeoverIfExpired(instance: string, takenOverBy: string): Promise<void> {
+		if (this._isLeaseExpired(takenOverBy)) {
+			await this._propose({ type: 'giveBack', of: instance, by: takenOverBy });
 		}
 	}
 
-	private async _record(body: TakeoverCommand): Promise<boolean> {
+	private async _propose(body: TakeoverCommand): Promise<boolean> {
 		try {
 			return (await this._agreement.propose<TakeoverResult>({ part: TAKEOVER_PART, body })).ok;
 		} catch {
--- a/src/plugins/ownership/ownership.plugin.ts
+++ b/src/plugins/ownership/ownership.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the ownership of targets. */
+/** Registers the target ownership of entry instances and the takeover records of control instances. */
 
 import {
 	ContributionPhase,
@@ -14,7 +14,7 @@
 import { HallOwnershipTask } from './node/hallOwnershipTask.js';
 import { TakeoverService } from './node/takeoverService.js';
 
-/** Starts the lease once the peer listener is open. */
+/** Starts the renewal of the lease. */
 class OwnershipContribution implements IContribution {
 	constructor(@ITargetOwnership private readonly _ownership: HallOwnershipTask) {}
 
--- a/src/plugins/ownership/test/ownershipLease.test.ts
+++ b/src/plugins/ownership/test/ownershipLease.test.ts
@@ -2,42 +2,42 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The lease: never two owners of a target at a time, whoever is cut off from whom. */
+/** Guards against two instances using the same target at a time when instances cannot reach each other or control. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { OWNERSHIP_LEASE_MS, OwnershipLease } from '../common/ownershipLease.js';
 
-test('alone in its hall an instance needs nobody; with a sibling it needs its promise or control', () => {
-	assert.ok(new OwnershipLease([]).holdsOwn(0));
+test('without siblings an instance needs no lease; with one it needs its promise or a renewal by control', () => {
+	assert.ok(new OwnershipLease([]).mayUseOwnTargets(0));
 	const lease = new OwnershipLease(['b']);
-	assert.ok(!lease.holdsOwn(0));
-	lease.takePromise('b', 0);
-	assert.ok(lease.holdsOwn(OWNERSHIP_LEASE_MS - 1));
-	assert.ok(!lease.holdsOwn(OWNERSHIP_LEASE_MS));
+	assert.ok(!lease.mayUseOwnTargets(0));
+	lease.recordPromise('b', 0);
+	assert.ok(lease.mayUseOwnTargets(OWNERSHIP_LEASE_MS - 1));
+	assert.ok(!lease.mayUseOwnTargets(OWNERSHIP_LEASE_MS));
 	lease.renew(OWNERSHIP_LEASE_MS);
-	assert.ok(lease.holdsOwn(OWNERSHIP_LEASE_MS * 2 - 1));
+	assert.ok(lease.mayUseOwnTargets(OWNERSHIP_LEASE_MS * 2 - 1));
 });
 
-test('while its promise holds an instance does not ask for a takeover, and after it only with control behind it', () => {
+test('a takeover is not requested before the promise to the sibling has expired, nor without a renewed lease', () => {
 	const lease = new OwnershipLease(['b']);
 	lease.renew(0);
-	assert.ok(lease.givePromise('b', 0));
-	assert.ok(!lease.mayAskTakeover('b', OWNERSHIP_LEASE_MS - 1));
-	assert.ok(!lease.mayAskTakeover('b', OWNERSHIP_LEASE_MS));
+	assert.ok(lease.grantPromise('b', 0));
+	assert.ok(!lease.mayRequestTakeover('b', OWNERSHIP_LEASE_MS - 1));
+	assert.ok(!lease.mayRequestTakeover('b', OWNERSHIP_LEASE_MS));
 	lease.renew(OWNERSHIP_LEASE_MS);
-	assert.ok(lease.mayAskTakeover('b', OWNERSHIP_LEASE_MS));
+	assert.ok(lease.mayRequestTakeover('b', OWNERSHIP_LEASE_MS));
 });
 
-test('targets taken over are used only after the wait and while control renews, and given back before a promise', () => {
+test('targets taken over are used only after the wait and with a renewed lease, and returned before a promise is granted', () => {
 	const lease = new OwnershipLease(['b']);
 	lease.renew(0);
-	lease.takeOver('b', 500);
-	assert.ok(!lease.holdsOf('b', 499));
-	assert.ok(lease.holdsOf('b', 500));
-	assert.ok(!lease.holdsOf('b', OWNERSHIP_LEASE_MS));
-	assert.ok(!lease.givePromise('b', 600));
-	lease.giveBack('b');
-	assert.ok(!lease.holdsOf('b', 600));
-	assert.ok(lease.givePromise('b', 600));
+	lease.recordTakeover('b', 500);
+	assert.ok(!lease.mayUseTargetsOf('b', 499));
+	assert.ok(lease.mayUseTargetsOf('b', 500));
+	assert.ok(!lease.mayUseTargetsOf('b', OWNERSHIP_LEASE_MS));
+	assert.ok(!lease.grantPromise('b', 600));
+	lease.endTakeover('b');
+	assert.ok(!lease.mayUseTargetsOf('b', 600));
+	assert.ok(lease.grantPromise('b', 600));
 });
