--- a/src/plugins/once/common/onceOrders.ts
+++ b/src/plugins/once/common/onceOrders.ts
@@ -39,7 +39,7 @@
 /** Dispatches requests with an order key, each at most once. */
 export interface IAtMostOnceDispatch {
 	/**
-	 * Claims the order key of the request, dispatches it and records its outcome. If it ran before, the recorded response
+	 * Claims the order key of the request, dispatches it and records its outcome. If it ran before, the stored response
 	 * is replayed instead.
 	 * @throws RequestError when the claim is refused or the dispatch fails, before the sink was started
 	 */
--- a/src/plugins/once/common/orderLedger.ts
+++ b/src/plugins/once/common/orderLedger.ts
@@ -17,16 +17,16 @@
 const DATE_LENGTH = 10;
 
 /** The response of a target, replayed to later requests with the same key. */
-export interface RecordedResponse {
+export interface StoredResponse {
 	readonly status: number;
 	readonly headers: readonly string[];
-	/** Absent when it exceeded the maximum recorded size. */
+	/** Absent when it exceeded the maximum stored size. */
 	readonly body?: Uint8Array;
 }
 
 /** The outcome of a claimed request. */
 export type OrderOutcome =
-	| { readonly kind: 'ran'; readonly answer: RecordedResponse }
+	| { readonly kind: 'ran'; readonly answer: StoredResponse }
 	| { readonly kind: 'not-run' }
 	| { readonly kind: 'unknown' };
 
@@ -56,7 +56,7 @@
 /** The result of a claim. */
 export type ClaimResult =
 	| { readonly kind: 'granted' }
-	| { readonly kind: 'ran'; readonly answer: RecordedResponse }
+	| { readonly kind: 'ran'; readonly answer: StoredResponse }
 	| { readonly kind: 'in-progress' }
 	| { readonly kind: 'unknown' }
 	| { readonly kind: 'conflict' }
@@ -69,7 +69,7 @@
 	readonly digest: string;
 	readonly requestId: string;
 	readonly state: 'claimed' | 'ran' | 'unknown';
-	readonly answer?: RecordedResponse;
+	readonly answer?: StoredResponse;
 }
 
 /** Order keys by date; see the head of this file. */
--- a/src/plugins/once/node/atMostOnceDispatchService.ts
+++ b/src/plugins/once/node/atMostOnceDispatchService.ts
@@ -18,7 +18,7 @@
 } from '../../dispatch/common/dispatch.js';
 import { ForwardingSink } from '../../dispatch/common/forwardingSink.js';
 import { claimMethod, type IAtMostOnceDispatch, outcomeMethod } from '../common/onceOrders.js';
-import type { ClaimResult, OrderOutcome, RecordedResponse } from '../common/orderLedger.js';
+import type { ClaimResult, OrderOutcome, StoredResponse } from '../common/orderLedger.js';
 
 const CALL_TIMEOUT_MS = 1500;
 const MAX_CLAIM_ATTEMPTS = 2;
@@ -26,8 +26,8 @@
 const OUTCOME_RETRY_INTERVAL_MS = 500;
 const NO_QUORUM_RETRY_AFTER_MS = 1000;
 const IN_PROGRESS_RETRY_AFTER_MS = 500;
-/** Larger bodies are not recorded; later requests with the key then only learn that the request ran. */
-const MAX_RECORDED_BODY_BYTES = 16 * 1024;
+/** Larger bodies are not stored; later requests with the key then only learn that the request ran. */
+const MAX_STORED_BODY_BYTES = 16 * 1024;
 
 /** Claims order keys at control instances and dispatches the requests whose claims are granted. */
 export class AtMostOnceDispatchService implements IAtMostOnceDispatch {
@@ -56,7 +56,7 @@
 		const recorder = new ResponseRecorder(sink);
 		try {
 			const result = await this._dispatch.dispatch(request, recorder);
-			void this._recordOutcome(request, { kind: 'ran', answer: recorder.recordedResponse() });
+			void this._recordOutcome(request, { kind: 'ran', answer: recorder.storedResponse() });
 			return result;
 		} catch (error) {
 			const isNotRun = error instanceof RequestError && error.verdict === 'not-run';
@@ -118,15 +118,15 @@
 		.digest('hex');
 }
 
-function replayResponse(answer: RecordedResponse, sink: ResponseSink): DispatchResult {
-	if (!answer.body) {
-		const message = 'the request with this key ran; its response was too large to be recorded';
+function replayResponse(response: StoredResponse, sink: ResponseSink): DispatchResult {
+	if (!response.body) {
+		const message = 'the request with this key ran; its response was too large to be stored';
 		throw new RequestError('ran', RefusalReason.AnswerNotKept, 409, message);
 	}
-	sink.start(answer.status, [...answer.headers, 'Shelffield-Replayed', 'true']);
-	sink.write(Buffer.from(answer.body));
+	sink.start(response.status, [...response.headers, 'Shelffield-Replayed', 'true']);
+	sink.write(Buffer.from(response.body));
 	sink.end();
-	return { target: '', status: answer.status, totalMs: 0, queuedMs: 0 };
+	return { target: '', status: response.status, totalMs: 0, queuedMs: 0 };
 }
 
 function claimError(claim: ClaimResult): RequestError {
@@ -155,14 +155,14 @@
 	}
 }
 
-/** Forwards a response and records it; a body of more than `MAX_RECORDED_BODY_BYTES` is left out. */
+/** Forwards a response and copies it for storage; a body of more than `MAX_STORED_BODY_BYTES` is left out. */
 class ResponseRecorder extends ForwardingSink {
 	private _status = 0;
 	private _headers: readonly string[] = [];
 	private _chunks: Buffer[] | undefined = [];
 	private _bytes = 0;
 
-	recordedResponse(): RecordedResponse {
+	storedResponse(): StoredResponse {
 		const body = this._chunks && Buffer.concat(this._chunks);
 		return { status: this._status, headers: this._headers, body };
 	}
@@ -175,7 +175,7 @@
 
 	override write(chunk: Buffer): boolean {
 		this._bytes += chunk.length;
-		this._chunks = this._bytes > MAX_RECORDED_BODY_BYTES ? undefined : this._chunks;
+		this._chunks = this._bytes > MAX_STORED_BODY_BYTES ? undefined : this._chunks;
 		this._chunks?.push(Buffer.from(chunk));
 		return super.write(chunk);
 	}
