--- a/src/plugins/burn/burn.plugin.ts
+++ b/src/plugins/burn/burn.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the recording of service-level burn. */
+/** Registers the recorder of request outcomes for the error budget report. */
 
 import { pluginRegistry } from '../../kernel/common/pluginRegistry.js';
 import { IBurnRecorder } from './common/burnRecorder.js';
--- a/src/plugins/burn/common/burnWindows.ts
+++ b/src/plugins/burn/common/burnWindows.ts
@@ -2,19 +2,19 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Counts of requests over several windows, kept in slices of a minute. Pure: time is passed in. */
+/** Counts of requests by outcome over sliding windows, and the error budget they use up. Pure: time is passed in. */
 
 import type { Millis } from '../../../base/clock.js';
 
-const SLICE_MS = 60000;
+const SLICE_DURATION_MS = 60000;
 
-/** A window that the report looks at. */
+/** A time window of the report. */
 export interface BurnWindow {
 	readonly name: string;
 	readonly minutes: number;
 }
 
-/** The windows of the report, shortest first. */
+/** Windows of the report, shortest first. */
 export const BURN_WINDOWS: readonly BurnWindow[] = [
 	{ name: '5m', minutes: 5 },
 	{ name: '30m', minutes: 30 },
@@ -22,66 +22,68 @@
 	{ name: '6h', minutes: 360 }
 ];
 
-/** Requests of one service and group. */
-export interface BurnCounts {
+/** Numbers of requests of one service and group. The keys are values of a metric label. */
+export interface OutcomeCounts {
 	all: number;
-	/** Without an answer, or with one that says the target failed. */
+	/** Got no response, or one with a status of 500 or above. */
 	failed: number;
-	/** Answered, but later than the objective allows. */
+	/** Got a response, but later than the latency objective allows. */
 	slow: number;
 }
 
-/** How one request ended. */
-export type BurnOutcome = 'good' | 'failed' | 'slow';
+/** Outcome of a request, judged by the objectives of its service. */
+export type RequestOutcome = 'good' | 'failed' | 'slow';
 
-/** The slices of one service and group. */
-export class BurnHistory {
-	private readonly _slices = new Map<number, BurnCounts>();
+/** Outcomes of the requests of one service and group, counted in slices of a minute. */
+export class OutcomeHistory {
+	private readonly _slices = new Map<number, OutcomeCounts>();
 
-	/** Counts one request. */
-	record(outcome: BurnOutcome, now: Millis): void {
-		const index = Math.floor(now / SLICE_MS);
-		let slice = this._slices.get(index);
+	record(outcome: RequestOutcome, now: Millis): void {
+		const currentIndex = Math.floor(now / SLICE_DURATION_MS);
+		let slice = this._slices.get(currentIndex);
 		if (!slice) {
 			slice = { all: 0, failed: 0, slow: 0 };
-			this._slices.set(index, slice);
-			this._forget(index);
+			this._slices.set(currentIndex, slice);
+			this._dropExpiredSlices(currentIndex);
 		}
 		slice.all++;
 		slice.failed += outcome === 'failed' ? 1 : 0;
 		slice.slow += outcome === 'slow' ? 1 : 0;
 	}
 
-	/** The counts of the last minutes, the present one included. */
-	counts(minutes: number, now: Millis): BurnCounts {
-		const first = Math.floor(now / SLICE_MS) - minutes + 1;
-		const sum: BurnCounts = { all: 0, failed: 0, slow: 0 };
+	/** Counts over the last `minutes` minutes, including the current, incomplete one. */
+	countLast(minutes: number, now: Millis): OutcomeCounts {
+		const firstIndex = Math.floor(now / SLICE_DURATION_MS) - minutes + 1;
+		const total: OutcomeCounts = { all: 0, failed: 0, slow: 0 };
 		for (const [index, slice] of this._slices) {
-			if (index >= first) {
-				sum.all += slice.all;
-				sum.failed += slice.failed;
-				sum.slow += slice.slow;
+			if (index >= firstIndex) {
+				total.all += slice.all;
+				total.failed += slice.failed;
+				total.slow += slice.slow;
 			}
 		}
-		return sum;
+		return total;
 	}
 
-	private _forget(index: number): void {
-		const longest = BURN_WINDOWS.at(-1)!.minutes;
-		for (const known of this._slices.keys()) {
-			if (known <= index - longest) {
-				this._slices.delete(known);
+	private _dropExpiredSlices(currentIndex: number): void {
+		const longestMinutes = BURN_WINDOWS.at(-1)!.minutes;
+		for (const index of this._slices.keys()) {
+			if (index <= currentIndex - longestMinutes) {
+				this._slices.delete(index);
 			}
 		}
 	}
 }
 
-/** How fast an error budget is used: 1 uses it up exactly over the objective's period. */
+/**
+ * Rate at which the error budget is used up; at a rate of 1 it lasts exactly for the period of the objective.
+ * @param objective minimum fraction of good requests; less than 1
+ */
 export function burnRate(bad: number, all: number, objective: number): number {
 	return all === 0 ? 0 : bad / all / (1 - objective);
 }
 
-/** The part of the error budget of a window that is left, 0 to 1. */
+/** Remaining fraction of the error budget of a window, 0 to 1. */
 export function budgetLeft(bad: number, all: number, objective: number): number {
 	return Math.max(0, 1 - burnRate(bad, all, objective));
 }
--- a/src/plugins/burn/node/burnRecorderService.ts
+++ b/src/plugins/burn/node/burnRecorderService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Counts requests against the objectives of the settings and offers the counts as metrics. */
+/** Counts requests by outcome, judged by the objectives in the settings, and exports the counts as metrics. */
 
 import { Gauge } from 'prom-client';
 import { systemClock } from '../../../base/clock.js';
@@ -10,13 +10,14 @@
 import { integerSchema, numberSchema, settingsRegistry } from '../../../kernel/common/settingsRegistry.js';
 import { IMetricsService } from '../../../kernel/node/metricsService.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
-import { EVENTS_METRIC, type IBurnRecorder, OBJECTIVE_METRIC } from '../common/burnRecorder.js';
-import { BURN_WINDOWS, BurnHistory } from '../common/burnWindows.js';
+import { type IBurnRecorder, OBJECTIVE_EVENTS_METRIC, OBJECTIVE_RATIO_METRIC } from '../common/burnRecorder.js';
+import { BURN_WINDOWS, OutcomeHistory } from '../common/burnWindows.js';
 
-const MAX_SERIES = 1000;
-const DEFAULTS: ObjectiveSettings = { latencyMs: 1000, latencyRatio: 0.99, availabilityRatio: 0.999 };
+/** Requests of further services and groups are not recorded. */
+const MAX_SERIES_COUNT = 1000;
+const DEFAULT_OBJECTIVES: ObjectiveSettings = { latencyMs: 1000, latencyRatio: 0.99, availabilityRatio: 0.999 };
 
-/** Section `[objective.SERVICE]`. */
+/** Settings section `[objective.SERVICE]`. */
 interface ObjectiveSettings {
 	readonly latencyMs: number;
 	readonly latencyRatio: number;
@@ -27,44 +28,44 @@
 	name: 'objective',
 	named: true,
 	kinds: [ProcessKind.Entry],
-	description: 'Objectives of a service, for the report on service-level burn.',
+	description: 'Objectives of a service, for the error budget report.',
 	keys: {
 		latencyMs: {
 			schema: integerSchema(1, 3600000),
-			description: 'An answer later than this is slow, 1 to 3600000 ms.',
-			default: String(DEFAULTS.latencyMs)
+			description: 'Latency above which a response is slow, 1 to 3600000 ms.',
+			default: String(DEFAULT_OBJECTIVES.latencyMs)
 		},
 		latencyRatio: {
 			schema: numberSchema(0, 0.99999),
-			description: 'Part of the answers that must not be slow, 0 to 0.99999.',
-			default: String(DEFAULTS.latencyRatio)
+			description: 'Minimum fraction of responses that must not be slow, 0 to 0.99999.',
+			default: String(DEFAULT_OBJECTIVES.latencyRatio)
 		},
 		availabilityRatio: {
 			schema: numberSchema(0, 0.99999),
-			description: 'Part of the requests that must be answered, 0 to 0.99999.',
-			default: String(DEFAULTS.availabilityRatio)
+			description: 'Minimum fraction of requests that must get a response with a status below 500, 0 to 0.99999.',
+			default: String(DEFAULT_OBJECTIVES.availabilityRatio)
 		}
 	}
 });
 
-interface Series {
+interface OutcomeSeries {
 	readonly service: string;
 	readonly group: string;
-	readonly history: BurnHistory;
+	readonly history: OutcomeHistory;
 }
 
 /** Burn recorder of one entry instance. */
 export class BurnRecorderService implements IBurnRecorder {
-	private readonly _series = new Map<string, Series>();
+	private readonly _series = new Map<string, OutcomeSeries>();
 	private readonly _objectives: ReadonlyMap<string, ObjectiveSettings>;
 
 	constructor(@ISettingsService settings: ISettingsService, @IMetricsService metrics: IMetricsService) {
 		this._objectives = settings.namedSections<ObjectiveSettings>('objective');
 		const services = [...settings.namedSections('service').keys()];
-		const collectEvents = (gauge: Gauge): void => this._collect(gauge);
+		const collectEvents = (gauge: Gauge): void => this._collectEvents(gauge);
 		new Gauge({
-			name: EVENTS_METRIC,
-			help: 'Requests in a window, by whether they met the objectives',
+			name: OBJECTIVE_EVENTS_METRIC,
+			help: 'Requests within a window: all of them, failed ones and slow ones',
 			labelNames: ['service', 'group', 'window', 'kind'],
 			registers: [metrics.registry],
 			collect() {
@@ -72,8 +73,8 @@
 			}
 		});
 		const ratios = new Gauge({
-			name: OBJECTIVE_METRIC,
-			help: 'Part of the requests that must be good',
+			name: OBJECTIVE_RATIO_METRIC,
+			help: 'Minimum fraction of requests that must meet the objective',
 			labelNames: ['service', 'objective'],
 			registers: [metrics.registry]
 		});
@@ -87,29 +88,29 @@
 	record(service: string, group: string, isFailed: boolean, totalMs: number): void {
 		const isSlow = totalMs > this._objectiveOf(service).latencyMs;
 		const outcome = isFailed ? 'failed' : isSlow ? 'slow' : 'good';
-		this._seriesOf(service, group)?.history.record(outcome, systemClock.now());
+		this._getOrCreateSeries(service, group)?.history.record(outcome, systemClock.now());
 	}
 
 	private _objectiveOf(service: string): ObjectiveSettings {
-		return this._objectives.get(service) ?? DEFAULTS;
+		return this._objectives.get(service) ?? DEFAULT_OBJECTIVES;
 	}
 
-	private _seriesOf(service: string, group: string): Series | undefined {
+	private _getOrCreateSeries(service: string, group: string): OutcomeSeries | undefined {
 		const key = `${service}|${group}`;
 		let series = this._series.get(key);
-		if (!series && this._series.size < MAX_SERIES) {
-			series = { service, group, history: new BurnHistory() };
+		if (!series && this._series.size < MAX_SERIES_COUNT) {
+			series = { service, group, history: new OutcomeHistory() };
 			this._series.set(key, series);
 		}
 		return series;
 	}
 
-	private _collect(gauge: Gauge): void {
+	private _collectEvents(gauge: Gauge): void {
 		const now = systemClock.now();
 		gauge.reset();
 		for (const { service, group, history } of this._series.values()) {
 			for (const { name, minutes } of BURN_WINDOWS) {
-				for (const [kind, value] of Object.entries(history.counts(minutes, now))) {
+				for (const [kind, value] of Object.entries(history.countLast(minutes, now))) {
 					gauge.set({ service, group, window: name, kind }, value as number);
 				}
 			}
--- a/src/plugins/commandLine/common/command.ts
+++ b/src/plugins/commandLine/common/command.ts
@@ -2,77 +2,75 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The commands of the command line: each feature registers its own. */
+/** Command interface, exit codes and registry of the command line. */
 
 import type { ParseArgsConfig } from 'node:util';
 
 /** Exit codes of the command line. */
 export enum ExitCode {
 	Done = 0,
-	/** The system refused; nothing was changed. */
+	/** The system refused the request; nothing was changed. */
 	Refused = 1,
-	/** Wrong arguments or settings. */
+	/** Invalid arguments or settings. */
 	BadUsage = 2,
-	/** No control instance answered, or it is not known whether the request took effect. */
+	/** No control instance gave a conclusive response; the request may have taken effect. */
 	Unreachable = 3,
-	/** Confirmed, but not in force at every instance within the time. */
+	/** The plan was confirmed, but did not come into force at every instance in time. */
 	NotInForce = 4
 }
 
 /** Options of a command, as `util.parseArgs` takes them. */
 export type CommandOptions = NonNullable<ParseArgsConfig['options']>;
 
-/** The arguments of one call. */
+/** Parsed command-line arguments. */
 export interface CommandArguments {
 	readonly values: Readonly<Record<string, string | boolean | undefined>>;
 	readonly positionals: readonly string[];
 }
 
-/** One command. */
+/** A command of the command line. */
 export interface ICommand {
 	readonly name: string;
-	/** One line for the list of commands. */
+	/** Description in the list of commands; one line. */
 	readonly summary: string;
-	/** What follows the name, with placeholders in capitals. */
+	/** Arguments after the name, with placeholders in capitals. */
 	readonly usage: string;
-	/** A call that works. */
+	/** Example of a valid command line. */
 	readonly example: string;
 	readonly options: CommandOptions;
-	/** Runs it; resolves with the exit code. */
+	/** Runs the command. */
 	run(args: CommandArguments): Promise<ExitCode>;
 }
 
-/** Wrong arguments; the message names the argument and what is allowed. */
+/** Invalid arguments; the message names the argument and the allowed values. */
 export class UsageError extends Error {}
 
 class CommandRegistry {
 	private readonly _commands = new Map<string, ICommand>();
 
-	/** Adds a command. */
 	register(command: ICommand): void {
 		this._commands.set(command.name, command);
 	}
 
-	/** All commands, in order of registration. */
+	/** All commands in order of registration. */
 	get all(): ICommand[] {
 		return [...this._commands.values()];
 	}
 
-	/** One command. */
 	get(name: string): ICommand | undefined {
 		return this._commands.get(name);
 	}
 }
 
-/** The commands of this program. */
+/** Commands of this program. */
 export const commandRegistry = new CommandRegistry();
 
-/** Options that every command that talks to control has. */
+/** Options of all commands that call a control instance. */
 export const CONNECTION_OPTIONS: CommandOptions = {
 	settings: { type: 'string' },
 	json: { type: 'boolean' },
 	help: { type: 'boolean', short: 'h' }
 };
 
-/** Options of commands that change something. */
+/** Options of commands that send requests which are identified by a number. */
 export const REQUEST_OPTIONS: CommandOptions = { ...CONNECTION_OPTIONS, number: { type: 'string' } };
--- a/src/plugins/commandLine/node/burnReport.ts
+++ b/src/plugins/commandLine/node/burnReport.ts
@@ -2,19 +2,19 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The report on service-level burn: sums the metrics of all entry instances; as text, JSON or one HTML page. */
+/** The error budget report: sums the metrics of all entry instances, and renders the report as an HTML page. */
 
 import { readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { request } from 'undici';
-import { EVENTS_METRIC, OBJECTIVE_METRIC } from '../../burn/common/burnRecorder.js';
+import { OBJECTIVE_EVENTS_METRIC, OBJECTIVE_RATIO_METRIC } from '../../burn/common/burnRecorder.js';
 import { BURN_WINDOWS, budgetLeft, burnRate } from '../../burn/common/burnWindows.js';
 
-const TIMEOUT_MS = 3000;
-const LINE_PATTERN = /^(\w+)\{([^}]*)\} (\S+)$/;
+const REQUEST_TIMEOUT_MS = 3000;
+const SAMPLE_PATTERN = /^(\w+)\{([^}]*)\} (\S+)$/;
 const LABEL_PATTERN = /(\w+)="([^"]*)"/g;
 
-/** One row of the report. */
+/** A row of the report: one service, group, objective and window. */
 export interface BurnRow {
 	readonly service: string;
 	readonly group: string;
@@ -23,14 +23,14 @@
 	readonly requests: number;
 	readonly bad: number;
 	readonly burnRate: number;
-	/** Part of the window's error budget that is left, 0 to 1. */
+	/** Remaining fraction of the error budget of the window, 0 to 1. */
 	readonly budgetLeft: number;
 }
 
-/** The whole report. */
+/** The error budget report. */
 export interface BurnReport {
 	readonly rows: readonly BurnRow[];
-	/** Instances whose metrics could not be read. */
+	/** URLs of instances whose metrics could not be read. */
 	readonly missing: readonly string[];
 }
 
@@ -42,8 +42,8 @@
 
 function parseSamples(text: string): Sample[] {
 	return text.split('\n').flatMap(line => {
-		const [, name, labelText, value] = LINE_PATTERN.exec(line) ?? [];
-		if (name !== EVENTS_METRIC && name !== OBJECTIVE_METRIC) {
+		const [, name, labelText, value] = SAMPLE_PATTERN.exec(line) ?? [];
+		if (name !== OBJECTIVE_EVENTS_METRIC && name !== OBJECTIVE_RATIO_METRIC) {
 			return [];
 		}
 		const labels = Object.fromEntries([...labelText!.matchAll(LABEL_PATTERN)].map(match => [match[1]!, match[2]!]));
@@ -51,43 +51,46 @@
 	});
 }
 
-/** Reads the metrics of the instances and makes the report. */
-export async function makeBurnReport(urls: readonly string[]): Promise<BurnReport> {
+/** Reads the metrics of the instances at the given URLs, and computes the report. */
+export async function collectBurnReport(urls: readonly string[]): Promise<BurnReport> {
 	const missing: string[] = [];
 	const samples: Sample[] = [];
 	for (const url of urls) {
 		try {
-			const response = await request(`${url}/metrics`, { headersTimeout: TIMEOUT_MS, bodyTimeout: TIMEOUT_MS });
+			const response = await request(`${url}/metrics`, {
+				headersTimeout: REQUEST_TIMEOUT_MS,
+				bodyTimeout: REQUEST_TIMEOUT_MS
+			});
 			samples.push(...parseSamples(await response.body.text()));
 		} catch {
 			missing.push(url);
 		}
 	}
-	return { rows: makeRows(samples), missing };
+	return { rows: createRows(samples), missing };
 }
 
-function makeRows(samples: readonly Sample[]): BurnRow[] {
-	const events = samples.filter(sample => sample.name === EVENTS_METRIC);
-	const pairs = [...new Set(events.map(({ labels }) => `${labels['service']}|${labels['group']}`))].sort();
-	return pairs.flatMap(pair => {
-		const [service, group] = pair.split('|') as [string, string];
+function createRows(samples: readonly Sample[]): BurnRow[] {
+	const events = samples.filter(sample => sample.name === OBJECTIVE_EVENTS_METRIC);
+	const seriesKeys = [...new Set(events.map(({ labels }) => `${labels['service']}|${labels['group']}`))].sort();
+	return seriesKeys.flatMap(key => {
+		const [service, group] = key.split('|') as [string, string];
 		return BURN_WINDOWS.flatMap(({ name: window }) => {
 			const sumOf = (kind: string): number => sumEvents(events, { service, group, window, kind });
 			return [
-				makeRow(samples, service, group, 'availability', window, sumOf('all'), sumOf('failed')),
-				makeRow(samples, service, group, 'latency', window, sumOf('all') - sumOf('failed'), sumOf('slow'))
+				createRow(samples, service, group, 'availability', window, sumOf('all'), sumOf('failed')),
+				createRow(samples, service, group, 'latency', window, sumOf('all') - sumOf('failed'), sumOf('slow'))
 			];
 		});
 	});
 }
 
-function sumEvents(events: readonly Sample[], wanted: Readonly<Record<string, string>>): number {
+function sumEvents(events: readonly Sample[], labelFilter: Readonly<Record<string, string>>): number {
 	return events
-		.filter(({ labels }) => Object.entries(wanted).every(([name, value]) => labels[name] === value))
+		.filter(({ labels }) => Object.entries(labelFilter).every(([name, value]) => labels[name] === value))
 		.reduce((sum, sample) => sum + sample.value, 0);
 }
 
-function makeRow(
+function createRow(
 	samples: readonly Sample[],
 	service: string,
 	group: string,
@@ -96,16 +99,20 @@
 	requests: number,
 	bad: number
 ): BurnRow {
-	const ratio =
+	const objectiveRatio =
 		samples.find(
 			({ name, labels }) =>
-				name === OBJECTIVE_METRIC && labels['service'] === service && labels['objective'] === objective
+				name === OBJECTIVE_RATIO_METRIC && labels['service'] === service && labels['objective'] === objective
 		)?.value ?? 0;
-	const known = { service, group, objective, window, requests, bad };
-	return { ...known, burnRate: burnRate(bad, requests, ratio), budgetLeft: budgetLeft(bad, requests, ratio) };
+	const counts = { service, group, objective, window, requests, bad };
+	return {
+		...counts,
+		burnRate: burnRate(bad, requests, objectiveRatio),
+		budgetLeft: budgetLeft(bad, requests, objectiveRatio)
+	};
 }
 
-/** The report as one HTML page that needs nothing else; the plots are drawn by `uplot`. */
+/** Renders the report as a self-contained HTML page; includes the script and style of `uplot` for the plots. */
 export function burnReportHtml(report: BurnReport): string {
 	const require = createRequire(import.meta.url);
 	const script = readFileSync(require.resolve('uplot/dist/uPlot.iife.min.js'), 'utf8');
@@ -118,10 +125,10 @@
 		})
 		.join('\n');
 	return `<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
+<html lang="en"><head><meta charset="utf-8"><title>Error budget report</title>
 <style>${style} body{font:14px sans-serif;margin:2em} td,th{padding:.2em .8em;text-align:left}</style></head>
-<body><h1>Service-level burn</h1><p>A burn of 1 uses the error budget up exactly.</p><div id="plots"></div>
-<table><tr><th>service</th><th>group</th><th>objective</th><th>window</th><th>requests</th><th>bad</th><th>burn</th>
+<body><h1>Error budget report</h1><p>At a burn rate of 1 the error budget is used up exactly.</p><div id="plots"></div>
+<table><tr><th>service</th><th>group</th><th>objective</th><th>window</th><th>requests</th><th>bad</th><th>burn rate</th>
 <th>budget left</th></tr>
 ${rows}</table>
 <script>${script}</script>
--- a/src/plugins/commandLine/node/commandLine.ts
+++ b/src/plugins/commandLine/node/commandLine.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Runs one command of the command line. */
+/** Entry point of the command line: parses the arguments, runs a command and reports its errors. */
 
 import { parseArgs } from 'node:util';
 import { SettingsError } from '../../../kernel/node/settingsService.js';
@@ -10,16 +10,16 @@
 import { RefusedError, UnreachableError } from './operatorConnection.js';
 
 const EXIT_CODE_HELP = [
-	'Exit codes: 0 done; 1 refused, nothing changed; 2 wrong arguments or settings;',
-	'3 no final answer from control; 4 confirmed but not in force everywhere.'
+	'Exit codes: 0 success; 1 refused, nothing changed; 2 invalid arguments or settings;',
+	'3 no conclusive response from a control instance; 4 confirmed, but not in force at every instance.'
 ].join('\n');
 
-function generalHelp(): string {
+function formatGeneralHelp(): string {
 	const lines = commandRegistry.all.map(command => `  ${command.name.padEnd(10)} ${command.summary}`);
 	return ['usage: shelffield COMMAND [--settings FILE] [--json] [--help]', '', ...lines, '', EXIT_CODE_HELP].join('\n');
 }
 
-function commandHelp(command: ICommand): string {
+function formatCommandHelp(command: ICommand): string {
 	const options = Object.keys(command.options).map(name => `--${name}`);
 	return [
 		`usage: shelffield ${command.name} ${command.usage}`,
@@ -30,7 +30,7 @@
 	].join('\n');
 }
 
-function parse(command: ICommand, argv: readonly string[]): CommandArguments {
+function parseArguments(command: ICommand, argv: readonly string[]): CommandArguments {
 	try {
 		const parsed = parseArgs({ args: [...argv], options: command.options, allowPositionals: true });
 		return parsed as CommandArguments;
@@ -39,7 +39,8 @@
 	}
 }
 
-function exitCodeOf(error: Error, asJson: boolean): ExitCode {
+/** Writes an error to stderr and returns the exit code for it. */
+function reportError(error: Error, asJson: boolean): ExitCode {
 	const body = error instanceof RefusedError ? error.body : { message: error.message };
 	process.stderr.write(`${asJson ? JSON.stringify(body) : describeError(error)}\n`);
 	if (error instanceof UsageError || error instanceof SettingsError) {
@@ -53,33 +54,33 @@
 		return error.message;
 	}
 	const { code, message, field, allowed, plan } = error.body;
-	const where = field ? ` (${field}${allowed ? `; allowed: ${allowed}` : ''})` : '';
-	const fresh = plan ? `\nA fresh plan: ${plan.planId}; see: shelffield plan ${plan.planId}` : '';
-	return `${code}: ${message}${where}${fresh}`;
+	const fieldHint = field ? ` (${field}${allowed ? `; allowed: ${allowed}` : ''})` : '';
+	const newPlanHint = plan ? `\nNew plan: ${plan.planId}; to show it: shelffield plan ${plan.planId}` : '';
+	return `${code}: ${message}${fieldHint}${newPlanHint}`;
 }
 
-/** Runs the command that the arguments name; resolves with the exit code. */
+/** Runs the command that the first argument names. */
 export async function runCommandLine(argv: readonly string[]): Promise<ExitCode> {
 	const [name, ...rest] = argv;
 	const command = name === undefined ? undefined : commandRegistry.get(name);
 	if (!command) {
-		const isHelp = name === undefined || name === '--help' || name === '-h';
-		const fault = isHelp ? '' : `there is no command '${name}'\n`;
-		process[isHelp ? 'stdout' : 'stderr'].write(`${fault}${generalHelp()}\n`);
-		return isHelp ? ExitCode.Done : ExitCode.BadUsage;
+		const isHelpRequested = name === undefined || name === '--help' || name === '-h';
+		const errorLine = isHelpRequested ? '' : `unknown command '${name}'\n`;
+		process[isHelpRequested ? 'stdout' : 'stderr'].write(`${errorLine}${formatGeneralHelp()}\n`);
+		return isHelpRequested ? ExitCode.Done : ExitCode.BadUsage;
 	}
 	try {
-		const args = parse(command, rest);
+		const args = parseArguments(command, rest);
 		if (args.values['help']) {
-			process.stdout.write(`${commandHelp(command)}\n`);
+			process.stdout.write(`${formatCommandHelp(command)}\n`);
 			return ExitCode.Done;
 		}
 		return await command.run(args);
 	} catch (error) {
-		const known = [UsageError, SettingsError, RefusedError, UnreachableError];
-		if (!known.some(type => error instanceof type)) {
+		const expectedErrors = [UsageError, SettingsError, RefusedError, UnreachableError];
+		if (!expectedErrors.some(type => error instanceof type)) {
 			throw error;
 		}
-		return exitCodeOf(error as Error, rest.includes('--json'));
+		return reportError(error as Error, rest.includes('--json'));
 	}
 }
--- a/src/plugins/commandLine/node/intentCommands.ts
+++ b/src/plugins/commandLine/node/intentCommands.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The commands that state an intent and get a plan. */
+/** Commands that submit an intent, for which the system drafts a plan. */
 
 import type { Plan } from '../../configuration/common/intents.js';
 import {
@@ -13,27 +13,27 @@
 	REQUEST_OPTIONS,
 	UsageError
 } from '../common/command.js';
-import { OperatorConnection, requestNumber } from './operatorConnection.js';
-import { describePlan, print } from './output.js';
+import { OperatorConnection, parseRequestNumber } from './operatorConnection.js';
+import { describePlan, printResult } from './output.js';
 
 const ALLOW_OPTION: CommandOptions = { 'allow-overload-on-region-loss': { type: 'boolean' } };
 
-/** Sends an intent and prints the plan. */
+/** Submits an intent and prints the plan drafted for it. */
 async function submitIntent(args: CommandArguments, intent: object): Promise<ExitCode> {
 	const connection = new OperatorConnection(args);
 	const allowOverloadOnRegionLoss = args.values['allow-overload-on-region-loss'] === true || undefined;
 	const body = {
 		operator: connection.operator,
-		number: requestNumber(args),
+		number: parseRequestNumber(args),
 		intent: { ...intent, allowOverloadOnRegionLoss }
 	};
 	const plan = await connection.send<Plan>('POST', '/v1/intents', body);
-	print(args, plan, () => describePlan(plan));
+	printResult(args, plan, () => describePlan(plan));
 	return ExitCode.Done;
 }
 
-/** The positional arguments, with a clear error when one is missing. */
-function require(args: CommandArguments, names: readonly string[]): string[] {
+/** @throws UsageError if one of the named positional arguments is missing */
+function requirePositionals(args: CommandArguments, names: readonly string[]): string[] {
 	names.forEach((name, i) => {
 		if (args.positionals[i] === undefined) {
 			throw new UsageError(`${name} is missing`);
@@ -42,7 +42,7 @@
 	return [...args.positionals];
 }
 
-function wholeNumber(text: string, name: string): number {
+function parseWholeNumber(text: string, name: string): number {
 	if (!/^\d+$/.test(text)) {
 		throw new UsageError(`${name} '${text}' is not allowed; allowed: a whole number`);
 	}
@@ -50,29 +50,34 @@
 }
 
 function parseIntent(args: CommandArguments): object {
-	const [kind, ...rest] = require(args, ['KIND']);
-	const inner = { ...args, positionals: rest };
+	const [kind, ...rest] = requirePositionals(args, ['KIND']);
+	const intentArgs = { ...args, positionals: rest };
 	switch (kind) {
 		case 'share': {
-			const [group, share] = require(inner, ['GROUP', 'SHARE']);
-			return { kind, group, share: wholeNumber(share!, 'SHARE') };
+			const [group, share] = requirePositionals(intentArgs, ['GROUP', 'SHARE']);
+			return { kind, group, share: parseWholeNumber(share!, 'SHARE') };
 		}
 		case 'cap': {
-			const [group, permille, windowMs] = require(inner, ['GROUP', 'PERMILLE', 'WINDOW-MS']);
+			const [group, permille, windowMs] = requirePositionals(intentArgs, ['GROUP', 'PERMILLE', 'WINDOW-MS']);
 			return {
 				kind,
 				group,
-				permille: wholeNumber(permille!, 'PERMILLE'),
-				windowMs: wholeNumber(windowMs!, 'WINDOW-MS')
+				permille: parseWholeNumber(permille!, 'PERMILLE'),
+				windowMs: parseWholeNumber(windowMs!, 'WINDOW-MS')
 			};
 		}
 		case 'prefer': {
-			const [group, region, permille] = require(inner, ['GROUP', 'REGION']);
-			return { kind, group, region, permille: permille === undefined ? undefined : wholeNumber(permille, 'PERMILLE') };
+			const [group, region, permille] = requirePositionals(intentArgs, ['GROUP', 'REGION']);
+			return {
+				kind,
+				group,
+				region,
+				permille: permille === undefined ? undefined : parseWholeNumber(permille, 'PERMILLE')
+			};
 		}
 		case 'drain':
 		case 'restore': {
-			const [scope, name] = require(inner, ['SCOPE', 'NAME']);
+			const [scope, name] = requirePositionals(intentArgs, ['SCOPE', 'NAME']);
 			return { kind, scope, name };
 		}
 		default:
@@ -83,7 +88,7 @@
 /** `shelffield intent`. */
 export const intentCommand: ICommand = {
 	name: 'intent',
-	summary: 'state an intent and see the plan; nothing changes until it is confirmed',
+	summary: 'submit an intent and show its plan; nothing changes until the plan is confirmed',
 	usage: [
 		'share GROUP SHARE | cap GROUP PERMILLE WINDOW-MS | prefer GROUP REGION [PERMILLE]',
 		'| drain SCOPE NAME | restore SCOPE NAME   (SCOPE: target, instance, hall, region)'
@@ -96,7 +101,7 @@
 /** `shelffield drain`. */
 export const drainCommand: ICommand = {
 	name: 'drain',
-	summary: 'short for: intent drain',
+	summary: 'shorthand for: intent drain',
 	usage: 'SCOPE NAME   (SCOPE: target, instance, hall, region)',
 	example: 'shelffield drain hall south-1',
 	options: { ...REQUEST_OPTIONS, ...ALLOW_OPTION },
--- a/src/plugins/commandLine/node/operatorConnection.ts
+++ b/src/plugins/commandLine/node/operatorConnection.ts
@@ -2,7 +2,10 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Talks to the control instances; a request whose answer was lost is sent again with the same number. */
+/**
+ * HTTP client for the operator API of the control instances. A request without a conclusive response is sent again with the
+ * same number, so that it takes effect only once.
+ */
 
 import { readFileSync } from 'node:fs';
 import { Agent, request } from 'undici';
@@ -13,13 +16,12 @@
 import type { OperatorErrorBody } from '../../operators/common/operatorApi.js';
 import { type CommandArguments, UsageError } from '../common/command.js';
 
-const ATTEMPTS = 10;
-const RETRY_MS = 300;
-const TIMEOUT_MS = 6000;
-/** Environment variable with the path of the settings file. */
-const SETTINGS_VARIABLE = 'SHELFFIELD_SETTINGS';
+const MAX_ATTEMPTS = 10;
+const RETRY_INTERVAL_MS = 300;
+const REQUEST_TIMEOUT_MS = 6000;
+const SETTINGS_FILE_VARIABLE = 'SHELFFIELD_SETTINGS';
 
-/** Section `[operator]`. */
+/** Settings section `[operator]`. */
 interface OperatorSettings {
 	readonly name: string;
 	readonly control: readonly string[];
@@ -30,29 +32,33 @@
 const urlListSchema = z
 	.string()
 	.transform(text => text.split(',').map(item => item.trim()))
-	.refine(urls => urls.every(url => URL.canParse(url)), 'URLs with commas between them');
+	.refine(urls => urls.every(url => URL.canParse(url)), 'a comma-separated list of URLs');
 
 settingsRegistry.register({
 	name: 'operator',
 	named: false,
 	kinds: [ProcessKind.CommandLine],
-	description: 'Who you are and where control is.',
+	description: 'Identity of the operator, and addresses of the control instances.',
 	keys: {
-		name: { schema: nameSchema, description: 'Your name; with the number of a request it identifies the request.' },
-		control: { schema: urlListSchema, description: 'Operator URLs of the control instances, with commas between.' },
+		name: {
+			schema: nameSchema,
+			description: 'Name of the operator; together with the number of a request it identifies the request.'
+		},
+		control: { schema: urlListSchema, description: 'Comma-separated operator URLs of the control instances.' },
 		tokenFile: { schema: pathSchema, description: 'File with the bearer token.' },
 		authorityFile: {
 			schema: z.string(),
-			description: 'PEM certificates by which HTTPS is checked; empty for the machine’s own.',
+			description:
+				'PEM certificates of the authorities that HTTPS servers are verified against; empty for the default ones.',
 			default: ''
 		}
 	}
 });
 
-/** No control instance gave a final answer. */
+/** No control instance gave a conclusive response; the request may have taken effect. */
 export class UnreachableError extends Error {}
 
-/** A final answer that is an error. */
+/** An error response that is conclusive: the request was refused. */
 export class RefusedError extends Error {
 	constructor(
 		readonly status: number,
@@ -62,17 +68,17 @@
 	}
 }
 
-/** The connection of one call of the command line. */
+/** Sends requests to the control instances in turn until one responds conclusively. */
 export class OperatorConnection {
 	private readonly _settings: OperatorSettings;
 	private readonly _token: string;
 	private readonly _dispatcher?: Agent;
-	private _next = 0;
+	private _controlIndex = 0;
 
 	constructor(args: CommandArguments) {
-		const file = (args.values['settings'] as string | undefined) ?? process.env[SETTINGS_VARIABLE];
+		const file = (args.values['settings'] as string | undefined) ?? process.env[SETTINGS_FILE_VARIABLE];
 		if (!file) {
-			throw new UsageError(`--settings FILE is needed, or the environment variable ${SETTINGS_VARIABLE}`);
+			throw new UsageError(`--settings FILE or the environment variable ${SETTINGS_FILE_VARIABLE} is required`);
 		}
 		this._settings = readSettings(file, ProcessKind.CommandLine).section<OperatorSettings>('operator');
 		this._token = readFileSync(this._settings.tokenFile, 'utf8').trim();
@@ -81,40 +87,39 @@
 		}
 	}
 
-	/** Name of the operator. */
 	get operator(): string {
 		return this._settings.name;
 	}
 
 	/**
-	 * Sends a request until there is a final answer.
-	 * @throws RefusedError the answer is an error
-	 * @throws UnreachableError there is none
+	 * Sends a request; tries the next control instance after a failure or a response with status 503.
+	 * @throws RefusedError for any other error response
+	 * @throws UnreachableError if all attempts fail
 	 */
 	async send<T>(method: 'GET' | 'POST', path: string, body?: unknown): Promise<T> {
-		let last = 'no answer';
-		for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
-			const url = this._settings.control[this._next % this._settings.control.length]!;
+		let lastError = 'no response';
+		for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+			const controlUrl = this._settings.control[this._controlIndex % this._settings.control.length]!;
 			try {
-				const answer = await this._sendOnce(url + path, method, body);
-				if (answer.status < 300) {
-					return answer.body as T;
+				const response = await this._sendOnce(controlUrl + path, method, body);
+				if (response.status < 300) {
+					return response.body as T;
 				}
-				const error = answer.body as OperatorErrorBody;
-				if (answer.status !== 503) {
-					throw new RefusedError(answer.status, error);
+				const error = response.body as OperatorErrorBody;
+				if (response.status !== 503) {
+					throw new RefusedError(response.status, error);
 				}
-				last = error.message;
+				lastError = error.message;
 			} catch (error) {
 				if (error instanceof RefusedError) {
 					throw error;
 				}
-				last = (error as Error).message;
+				lastError = (error as Error).message;
 			}
-			this._next++;
-			await new Promise(resolve => setTimeout(resolve, RETRY_MS));
+			this._controlIndex++;
+			await new Promise(resolve => setTimeout(resolve, RETRY_INTERVAL_MS));
 		}
-		throw new UnreachableError(`no control instance gave a final answer: ${last}`);
+		throw new UnreachableError(`no control instance gave a conclusive response: ${lastError}`);
 	}
 
 	private async _sendOnce(
@@ -127,21 +132,23 @@
 			dispatcher: this._dispatcher,
 			headers: { authorization: `Bearer ${this._token}`, 'content-type': 'application/json' },
 			body: body === undefined ? undefined : JSON.stringify(body),
-			headersTimeout: TIMEOUT_MS,
-			bodyTimeout: TIMEOUT_MS
+			headersTimeout: REQUEST_TIMEOUT_MS,
+			bodyTimeout: REQUEST_TIMEOUT_MS
 		});
 		return { status: response.statusCode, body: await response.body.json() };
 	}
 }
 
-/** The number of a request: the operator's own, or the time in milliseconds. */
-export function requestNumber(args: CommandArguments): number {
+/** The request number given by `--number`; the current time in milliseconds by default. */
+export function parseRequestNumber(args: CommandArguments): number {
 	const text = args.values['number'] as string | undefined;
 	if (text === undefined) {
 		return Date.now();
 	}
 	if (!/^\d{1,15}$/.test(text)) {
-		throw new UsageError(`--number '${text}' is not allowed; allowed: a whole number, 0 or more`);
+		throw new UsageError(
+			`--number '${text}' is not allowed; allowed: a whole number, 0 or more, with at most 15 digits`
+		);
 	}
 	return Number(text);
 }
--- a/src/plugins/commandLine/node/output.ts
+++ b/src/plugins/commandLine/node/output.ts
@@ -2,31 +2,31 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What the command line prints: JSON on request, otherwise text and tables for people. */
+/** Output of the command line: text and tables, or JSON with `--json`. */
 
 import Table from 'cli-table3';
 import type { Plan } from '../../configuration/common/intents.js';
 import type { StatusResponse } from '../../operators/common/operatorApi.js';
 import type { CommandArguments } from '../common/command.js';
 
-/** Prints a value as JSON with `--json`, otherwise as text. */
-export function print(args: CommandArguments, value: unknown, toText: () => string): void {
+/** Prints the value as JSON with `--json`, otherwise the text. */
+export function printResult(args: CommandArguments, value: unknown, toText: () => string): void {
 	process.stdout.write(`${args.values['json'] ? JSON.stringify(value, undefined, 2) : toText()}\n`);
 }
 
-/** A table with a head. */
-export function table(head: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
-	const made = new Table({ head: [...head], style: { head: [], border: [] } });
-	made.push(...rows.map(row => row.map(String)));
-	return made.toString();
+/** Formats rows as a text table with the given column headings. */
+export function formatTable(head: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
+	const result = new Table({ head: [...head], style: { head: [], border: [] } });
+	result.push(...rows.map(row => row.map(String)));
+	return result.toString();
 }
 
-/** A plan as a person needs it: what moves, where, at what pace, what headroom is left, who yields. */
+/** Describes a plan: its stages, the headroom after it, the groups that yield capacity, and warnings. */
 export function describePlan(plan: Plan): string {
 	const stages = plan.stages.map((stage, i) => [i + 1, stage.move, stage.pace, `${stage.at / 1000} s`]);
-	const parts = [
+	const sections = [
 		`Plan ${plan.planId} for ${JSON.stringify(plan.intent)}, from revision ${plan.baseRevision}`,
-		table(['stage', 'what moves', 'pace', 'not before'], stages)
+		formatTable(['stage', 'what moves', 'pace', 'not before'], stages)
 	];
 	if (plan.headroomAfter.length > 0) {
 		const rows = plan.headroomAfter.map(entry => [
@@ -37,18 +37,22 @@
 			entry.usedAfter,
 			Math.round((entry.slots - entry.usedAfter) * 100) / 100
 		]);
-		parts.push(table(['region', 'service', 'slots', 'used now', 'used after', 'headroom after'], rows));
+		sections.push(formatTable(['region', 'service', 'slots', 'used now', 'used after', 'headroom after'], rows));
 	}
 	const yields = plan.yields.map(
 		item => `  ${item.group} yields up to ${item.slots} slots of ${item.service} in ${item.region}`
 	);
-	parts.push(yields.length > 0 ? `Who yields:\n${yields.join('\n')}` : 'Nobody has to yield.');
-	parts.push(...plan.warnings.map(warning => `Warning: ${warning}`));
-	parts.push(`Nothing has changed yet. To put it into force: shelffield confirm ${plan.planId}`);
-	return parts.join('\n');
+	sections.push(
+		yields.length > 0
+			? `Groups that yield capacity if a region runs short:\n${yields.join('\n')}`
+			: 'No group has to yield capacity.'
+	);
+	sections.push(...plan.warnings.map(warning => `Warning: ${warning}`));
+	sections.push(`Nothing has changed yet. To put the plan into force: shelffield confirm ${plan.planId}`);
+	return sections.join('\n');
 }
 
-/** The state of the system. */
+/** Describes the status of the system: control instances, entry instances, groups and plans. */
 export function describeStatus(status: StatusResponse): string {
 	const entries = status.entries.map(entry => [
 		entry.instance,
@@ -70,14 +74,14 @@
 		plan.holdReason ?? ''
 	]);
 	const members = status.members.map(member => `${member.id} (${member.role})`).join(', ');
-	const leaving = status.leaving.map(item => `${item.scope} ${item.name}`).join(', ');
+	const drained = status.leaving.map(item => `${item.scope} ${item.name}`).join(', ');
 	return [
 		`Revision ${status.revision}; leader ${status.leader}, term ${status.term}; control: ${members}`,
-		table(['instance', 'hall', 'region', 'revision in force', 'state'], entries),
-		table(['group', 'share', 'cap'], groups),
+		formatTable(['instance', 'hall', 'region', 'revision in force', 'state'], entries),
+		formatTable(['group', 'share', 'cap'], groups),
 		plans.length > 0
-			? table(['plan', 'intent', 'status', 'stages begun', 'held because'], plans)
-			: 'No plan was confirmed.',
-		leaving === '' ? 'Nothing is drained.' : `Drained: ${leaving}`
+			? formatTable(['plan', 'intent', 'status', 'stages begun', 'hold reason'], plans)
+			: 'No plans have been confirmed.',
+		drained === '' ? 'Nothing is drained.' : `Drained: ${drained}`
 	].join('\n');
 }
--- a/src/plugins/commandLine/node/planCommands.ts
+++ b/src/plugins/commandLine/node/planCommands.ts
@@ -2,11 +2,11 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The commands about plans and the state of the system. */
+/** Commands for plans, status, explanations and the membership of the replicated log. */
 
 import { readFile } from 'node:fs/promises';
 import type { PlanRecord } from '../../configuration/common/intents.js';
-import type { ConfirmResponse, InForce, StatusResponse } from '../../operators/common/operatorApi.js';
+import type { ConfirmResponse, InForceStatus, StatusResponse } from '../../operators/common/operatorApi.js';
 import {
 	type CommandArguments,
 	CONNECTION_OPTIONS,
@@ -16,15 +16,15 @@
 	UsageError
 } from '../common/command.js';
 import { explainRequest } from '../common/requestExplanation.js';
-import { OperatorConnection, requestNumber } from './operatorConnection.js';
-import { describePlan, describeStatus, print, table } from './output.js';
+import { OperatorConnection, parseRequestNumber } from './operatorConnection.js';
+import { describePlan, describeStatus, formatTable, printResult } from './output.js';
 
-const POLL_MS = 300;
+const POLL_INTERVAL_MS = 300;
 const IN_FORCE_TIMEOUT_MS = 10000;
 
-type PlanWithForce = PlanRecord & { readonly inForce: InForce };
+type PlanWithInForceStatus = PlanRecord & { readonly inForce: InForceStatus };
 
-function planId(args: CommandArguments): string {
+function parsePlanId(args: CommandArguments): string {
 	const id = args.positionals[0];
 	if (!id || !/^[0-9a-f]+$/.test(id)) {
 		throw new UsageError('PLAN is missing or not allowed; allowed: the id that `shelffield intent` printed');
@@ -32,56 +32,63 @@
 	return id;
 }
 
-function describeForce(inForce: InForce): string {
+function describeInForce(inForce: InForceStatus): string {
 	const missing = inForce.missing.length > 0 ? `; missing: ${inForce.missing.join(', ')}` : '';
 	return `in force at ${inForce.count} of ${inForce.of} instances${missing}`;
 }
 
-function describeProgress(record: PlanWithForce): string {
+function describeProgress(record: PlanWithInForceStatus): string {
 	const held = record.holdReason ? `, held: ${record.holdReason}` : '';
 	const stages = `${record.stagesBegun} of ${record.plan.stages.length} stages begun`;
-	return `${record.status}, ${stages}${held}; ${describeForce(record.inForce)}`;
+	return `${record.status}, ${stages}${held}; ${describeInForce(record.inForce)}`;
 }
 
-/** Waits until a plan's latest stage is in force; tells each change. */
-async function waitInForce(connection: OperatorConnection, id: string, args: CommandArguments): Promise<PlanWithForce> {
-	const until = Date.now() + IN_FORCE_TIMEOUT_MS;
-	let told = '';
+/**
+ * Waits until the latest stage of a plan is in force or a timeout elapses; with `--follow`, until the plan is done or stopped.
+ * Prints each change of its progress unless `--json` is set.
+ */
+async function waitUntilInForce(
+	connection: OperatorConnection,
+	id: string,
+	args: CommandArguments
+): Promise<PlanWithInForceStatus> {
+	const deadline = Date.now() + IN_FORCE_TIMEOUT_MS;
+	let lastProgress = '';
 	for (;;) {
-		const record = await connection.send<PlanWithForce>('GET', `/v1/plans/${id}`);
+		const record = await connection.send<PlanWithInForceStatus>('GET', `/v1/plans/${id}`);
 		const progress = describeProgress(record);
-		if (progress !== told && !args.values['json']) {
+		if (progress !== lastProgress && !args.values['json']) {
 			process.stdout.write(`${progress}\n`);
-			told = progress;
+			lastProgress = progress;
 		}
-		const isOpen = record.status === 'running' || record.status === 'holding';
-		const isWaiting = args.values['follow'] ? isOpen : record.inForce.missing.length > 0 && Date.now() < until;
-		if (!isWaiting) {
+		const isActive = record.status === 'running' || record.status === 'holding';
+		const shouldWait = args.values['follow'] ? isActive : record.inForce.missing.length > 0 && Date.now() < deadline;
+		if (!shouldWait) {
 			return record;
 		}
-		await new Promise(resolve => setTimeout(resolve, POLL_MS));
+		await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
 	}
 }
 
 /** `shelffield confirm`. */
 export const confirmCommand: ICommand = {
 	name: 'confirm',
-	summary: 'put a plan into force, and show until it is',
+	summary: 'put a plan into force, and show its progress',
 	usage: 'PLAN [--follow]',
 	example: 'shelffield confirm 0a1b2c3d4e5f6071 --follow',
 	options: { ...REQUEST_OPTIONS, follow: { type: 'boolean' } },
 	run: async args => {
-		const id = planId(args);
+		const id = parsePlanId(args);
 		const connection = new OperatorConnection(args);
-		const { plan } = await connection.send<PlanWithForce>('GET', `/v1/plans/${id}`);
-		const body = { operator: connection.operator, number: requestNumber(args), digest: plan.digest };
+		const { plan } = await connection.send<PlanWithInForceStatus>('GET', `/v1/plans/${id}`);
+		const body = { operator: connection.operator, number: parseRequestNumber(args), digest: plan.digest };
 		const confirmed = await connection.send<ConfirmResponse>('POST', `/v1/plans/${id}/confirm`, body);
 		if (!args.values['json']) {
 			process.stdout.write(`confirmed as revision ${confirmed.revision}\n`);
 		}
-		const record = await waitInForce(connection, id, args);
+		const record = await waitUntilInForce(connection, id, args);
 		if (args.values['json']) {
-			print(args, { ...confirmed, inForce: record.inForce, status: record.status }, () => '');
+			printResult(args, { ...confirmed, inForce: record.inForce, status: record.status }, () => '');
 		}
 		return record.inForce.missing.length === 0 ? ExitCode.Done : ExitCode.NotInForce;
 	}
@@ -90,13 +97,16 @@
 /** `shelffield plan`. */
 export const planCommand: ICommand = {
 	name: 'plan',
-	summary: 'show a plan and how far it is',
+	summary: 'show a plan and its progress',
 	usage: 'PLAN',
 	example: 'shelffield plan 0a1b2c3d4e5f6071',
 	options: CONNECTION_OPTIONS,
 	run: async args => {
-		const record = await new OperatorConnection(args).send<PlanWithForce>('GET', `/v1/plans/${planId(args)}`);
-		print(args, record, () => `${describePlan(record.plan)}\nNow: ${describeProgress(record)}`);
+		const record = await new OperatorConnection(args).send<PlanWithInForceStatus>(
+			'GET',
+			`/v1/plans/${parsePlanId(args)}`
+		);
+		printResult(args, record, () => `${describePlan(record.plan)}\nNow: ${describeProgress(record)}`);
 		return ExitCode.Done;
 	}
 };
@@ -104,14 +114,14 @@
 /** `shelffield stop`. */
 export const stopCommand: ICommand = {
 	name: 'stop',
-	summary: 'stop a running shift where it stands',
+	summary: 'stop a running plan; stages that have begun are not undone',
 	usage: 'PLAN',
 	example: 'shelffield stop 0a1b2c3d4e5f6071',
 	options: CONNECTION_OPTIONS,
 	run: async args => {
-		const path = `/v1/plans/${planId(args)}/stop`;
+		const path = `/v1/plans/${parsePlanId(args)}/stop`;
 		const stopped = await new OperatorConnection(args).send<{ status: string; stagesBegun: number }>('POST', path);
-		print(args, stopped, () => `${stopped.status} after ${stopped.stagesBegun} stages`);
+		printResult(args, stopped, () => `${stopped.status} after ${stopped.stagesBegun} stages`);
 		return ExitCode.Done;
 	}
 };
@@ -125,7 +135,7 @@
 	options: CONNECTION_OPTIONS,
 	run: async args => {
 		const status = await new OperatorConnection(args).send<StatusResponse>('GET', '/v1/status');
-		print(args, status, () => describeStatus(status));
+		printResult(args, status, () => describeStatus(status));
 		return ExitCode.Done;
 	}
 };
@@ -138,20 +148,23 @@
 		});
 		lines.push(...text.split('\n'));
 	}
-	const told = explainRequest(lines, id);
-	const nothing = 'The logs say nothing of it: it came to no instance whose log this is, or its line was left out.';
-	print(args, { requestId: id, told }, () => (told.length > 0 ? told.join('\n') : nothing));
+	const explanation = explainRequest(lines, id);
+	const notFoundMessage =
+		'No log line for this request: it was received by another instance, or its log line was dropped by sampling.';
+	printResult(args, { requestId: id, told: explanation }, () =>
+		explanation.length > 0 ? explanation.join('\n') : notFoundMessage
+	);
 	return ExitCode.Done;
 }
 
-interface Explanation {
+interface DecisionList {
 	readonly decisions: readonly { at: string; planId: string; decision: string }[];
 }
 
 /** `shelffield explain`. */
 export const explainCommand: ICommand = {
 	name: 'explain',
-	summary: 'say why a shift went as it did, from recorded decisions, or a request, from logs',
+	summary: 'show the recorded decisions about plans, or how a request was processed according to logs',
 	usage: '[plan PLAN] | request ID LOGFILE...',
 	example: 'shelffield explain plan 0a1b2c3d4e5f6071',
 	options: CONNECTION_OPTIONS,
@@ -161,13 +174,13 @@
 			return explainFromLogs(args, id, files);
 		}
 		if (kind !== undefined && (kind !== 'plan' || id === undefined)) {
-			throw new UsageError('allowed: nothing, `plan PLAN`, or `request ID LOGFILE...`');
+			throw new UsageError('allowed: no arguments, `plan PLAN`, or `request ID LOGFILE...`');
 		}
 		const query = kind === undefined ? '' : `?${new URLSearchParams({ [kind]: id! }).toString()}`;
-		const explanation = await new OperatorConnection(args).send<Explanation>('GET', `/v1/explain${query}`);
+		const explanation = await new OperatorConnection(args).send<DecisionList>('GET', `/v1/explain${query}`);
 		const rows = explanation.decisions.map(item => [item.at, item.planId, item.decision]);
-		print(args, explanation, () =>
-			rows.length > 0 ? table(['at', 'what', 'decision'], rows) : 'No decision about it is recorded.'
+		printResult(args, explanation, () =>
+			rows.length > 0 ? formatTable(['at', 'what', 'decision'], rows) : 'No decisions are recorded.'
 		);
 		return ExitCode.Done;
 	}
@@ -186,7 +199,7 @@
 			throw new UsageError('allowed: `member remove NAME`; a new one joins by itself when its settings list it');
 		}
 		await new OperatorConnection(args).send('POST', `/v1/members/${name}/remove`);
-		print(args, { removed: name }, () => `${name} is no longer a member`);
+		printResult(args, { removed: name }, () => `${name} is no longer a member`);
 		return ExitCode.Done;
 	}
 };
--- a/src/plugins/operators/common/operatorApi.ts
+++ b/src/plugins/operators/common/operatorApi.ts
@@ -2,69 +2,71 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What operators see on the wire. */
+/** Operator API: response bodies, and the call that forwards a request to the leader. */
 
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 import type { Intent, Plan, PlanStatus } from '../../configuration/common/intents.js';
 
-/** A request of an operator, as one control instance hands it to another. */
+/** An operator's request, as one control instance forwards it to another. */
 export interface OperatorRequest {
 	readonly method: 'GET' | 'POST';
-	/** Path without the query. */
+	/** Path without the query string. */
 	readonly path: string;
 	readonly query: Readonly<Record<string, string>>;
 	readonly body?: unknown;
 }
 
-/** The answer to it. */
+/** Response to an `OperatorRequest`. */
 export interface OperatorResponse {
 	readonly status: number;
 	readonly body: unknown;
 	readonly retryAfterMs?: number;
 }
 
-/** An error, as operators see it. */
+/** Body of an error response. */
 export interface OperatorErrorBody {
 	readonly code: string;
 	readonly message: string;
 	readonly field?: string;
 	readonly allowed?: string;
 	readonly verdict: 'not-run' | 'may-have-run' | 'ran';
-	/** For `base-moved`: what changed, and a plan from the present state. */
+	/** For `base-moved`: the parts of the configuration that changed. */
 	readonly changed?: readonly string[];
+	/** For `base-moved`: a new plan, based on the current revision; absent if none could be made. */
 	readonly plan?: Plan;
 }
 
-/** How far a revision is in force. */
-export interface InForce {
+/** Number of entry instances at which a revision is in force. */
+export interface InForceStatus {
 	readonly count: number;
+	/** Number of all known entry instances. */
 	readonly of: number;
-	/** Instances that do not have it in force, with those that are cut off. */
+	/** Instances at which it is not in force, including all instances without recent reports. */
 	readonly missing: readonly string[];
 }
 
-/** Answer to a confirm. */
+/** Response to `POST /v1/plans/PLAN/confirm`. */
 export interface ConfirmResponse {
 	readonly planId: string;
 	readonly revision: number;
-	readonly inForce: InForce;
+	readonly inForce: InForceStatus;
 }
 
-/** One entry instance in a status. */
+/** An entry instance in a `StatusResponse`. */
 export interface EntryStatus {
 	readonly instance: string;
-	/** Where callers reach it. */
+	/** URL for callers. */
 	readonly url: string;
 	readonly hall: string;
 	readonly region: string;
 	readonly revisionInForce: number;
 	readonly provisional: boolean;
 	readonly leaving: boolean;
-	/** Whether it was not heard from lately. */
+	/** Whether its reports are overdue. */
 	readonly silent: boolean;
 }
 
-/** One plan in a status. */
+/** A plan in a `StatusResponse`. */
 export interface PlanSummary {
 	readonly planId: string;
 	readonly intent: Intent;
@@ -74,7 +76,7 @@
 	readonly holdReason?: string;
 }
 
-/** Answer to `GET /v1/status`. */
+/** Response to `GET /v1/status`. */
 export interface StatusResponse {
 	readonly instance: string;
 	readonly leader: string;
@@ -87,5 +89,5 @@
 	readonly plans: readonly PlanSummary[];
 }
 
-/** Hands an operator's request to the leader. */
+/** Forwards an operator's request to the leader. */
 export const forwardMethod = defineUnary<OperatorRequest, OperatorResponse>('operators', 'Forward');
--- a/src/plugins/operators/node/operatorServer.ts
+++ b/src/plugins/operators/node/operatorServer.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The operator port of a control instance: token, limits, and the way to the leader. */
+/** HTTP listener for operators of a control instance: authenticates requests and forwards them to the leader. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { readFileSync, statSync } from 'node:fs';
@@ -21,13 +21,13 @@
 import { forwardMethod, type OperatorRequest, type OperatorResponse } from '../common/operatorApi.js';
 import { IOperatorService } from './operatorService.js';
 
-const FORWARD_TIMEOUT_MS = 5000;
-const LEADER_POLL_MS = 50;
-const OTHERS_MAY_READ = 0o077;
+const LEADER_RESPONSE_TIMEOUT_MS = 5000;
+const LEADER_POLL_INTERVAL_MS = 50;
+const GROUP_AND_OTHERS_PERMISSIONS = 0o077;
 const RETRY_AFTER_MS = 500;
 const MS_PER_SECOND = 1000;
 
-/** Section `[operators]`. */
+/** Settings section `[operators]`. */
 interface OperatorSettings {
 	readonly address: string;
 	readonly tokenFile: string;
@@ -41,18 +41,21 @@
 	name: 'operators',
 	named: false,
 	kinds: [ProcessKind.Control],
-	description: 'The port for operators.',
+	description: 'Listener for operators.',
 	keys: {
-		address: { schema: addressSchema, description: 'IPv4 address and port; port 0 lets the system choose.' },
+		address: {
+			schema: addressSchema,
+			description: 'IPv4 address and port; port 0 lets the operating system choose one.'
+		},
 		tokenFile: { schema: pathSchema, description: 'File with the bearer token; only its owner may read it.' },
 		maxBodyBytes: {
 			schema: integerSchema(256, 1048576),
-			description: 'Largest body of a request, 256 to 1048576 bytes.',
+			description: 'Maximum size of a request body, 256 to 1048576 bytes.',
 			default: '65536'
 		},
 		maxConnections: {
 			schema: integerSchema(1, 10000),
-			description: 'Most connections at once, 1 to 10000.',
+			description: 'Maximum number of concurrent connections, 1 to 10000.',
 			default: '100'
 		},
 		certificateFile: { schema: z.string(), description: 'PEM certificate for HTTPS; empty for HTTP.', default: '' },
@@ -64,7 +67,7 @@
 	const { tokenFile } = settings.section<OperatorSettings>('operators');
 	const fault = (message: string) => [{ section: 'operators', key: 'tokenFile', message }];
 	try {
-		if ((statSync(tokenFile).mode & OTHERS_MAY_READ) !== 0) {
+		if ((statSync(tokenFile).mode & GROUP_AND_OTHERS_PERMISSIONS) !== 0) {
 			return fault(`'${tokenFile}' may be read by others than its owner; allowed: mode 0600 or stricter`);
 		}
 		if (readFileSync(tokenFile, 'utf8').trim() === '') {
@@ -76,30 +79,30 @@
 	}
 });
 
-function digest(text: string): Buffer {
+function sha256(text: string): Buffer {
 	return createHash('sha256').update(text).digest();
 }
 
-/** The operator port. */
+/** Listener for operators. */
 export class OperatorServer extends Disposable implements IContribution {
 	private readonly _listener: HttpListener;
 	private readonly _settings: OperatorSettings;
-	private readonly _controls: ReadonlyMap<string, ControlPeerSettings>;
+	private readonly _controlPeers: ReadonlyMap<string, ControlPeerSettings>;
 	private readonly _tokenDigest: Buffer;
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IMetricsService metrics: IMetricsService,
 		@ILogService private readonly _log: ILogService,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerWire private readonly _transport: IPeerWire,
 		@IAgreement private readonly _agreement: IAgreement,
 		@IOperatorService private readonly _service: IOperatorService
 	) {
 		super();
 		this._settings = settings.section<OperatorSettings>('operators');
-		this._controls = settings.namedSections<ControlPeerSettings>('control');
-		this._tokenDigest = digest(readFileSync(this._settings.tokenFile, 'utf8').trim());
-		this._wire.handleUnary(forwardMethod, request => this._service.answer(request));
+		this._controlPeers = settings.namedSections<ControlPeerSettings>('control');
+		this._tokenDigest = sha256(readFileSync(this._settings.tokenFile, 'utf8').trim());
+		this._transport.handleUnary(forwardMethod, request => this._service.handleRequest(request));
 		const { address, maxConnections, certificateFile, keyFile } = this._settings;
 		this._listener = this._register(
 			new HttpListener({
@@ -116,7 +119,7 @@
 
 	async start(): Promise<void> {
 		const address = await this._listener.listen();
-		this._log.info('operator port open', { task: 'operators', address });
+		this._log.info('operator listener started', { task: 'operators', address });
 	}
 
 	drain(): Promise<void> {
@@ -125,7 +128,7 @@
 
 	private async _handle(request: HttpRequest, response: HttpResponse): Promise<void> {
 		if (!this._isAuthorized(request.headers.authorization)) {
-			const message = 'a bearer token is needed: Authorization: Bearer TOKEN';
+			const message = 'a valid bearer token is required: Authorization: Bearer TOKEN';
 			sendJson(response, 401, { code: 'unauthorized', message, field: 'Authorization', verdict: 'not-run' });
 			return;
 		}
@@ -149,52 +152,55 @@
 			return;
 		}
 		const query = Object.fromEntries(Object.entries(request.query).map(([key, value]) => [key, String(value)]));
-		const forwarded: OperatorRequest = { method: request.method, path: request.path, query, body: parsed.value };
-		this._send(response, await this._answer(forwarded));
+		const operatorRequest: OperatorRequest = { method: request.method, path: request.path, query, body: parsed.value };
+		this._sendResponse(response, await this._answerOrForward(operatorRequest));
 	}
 
 	private _isAuthorized(header: string | undefined): boolean {
 		const token = /^Bearer (.+)$/.exec(header ?? '')?.[1] ?? '';
-		return timingSafeEqual(digest(token), this._tokenDigest);
+		return timingSafeEqual(sha256(token), this._tokenDigest);
 	}
 
-	/** The leader answers; another instance hands the request on, once. */
-	private async _answer(request: OperatorRequest): Promise<OperatorResponse> {
+	/** Answers the request if this instance is the leader or knows no other leader; otherwise forwards it to the leader, once. */
+	private async _answerOrForward(request: OperatorRequest): Promise<OperatorResponse> {
 		const { leader, id } = this._agreement.status();
-		const peer = leader === undefined ? undefined : this._controls.get(leader);
+		const peer = leader === undefined ? undefined : this._controlPeers.get(leader);
 		if (leader === id || !peer) {
-			return this._service.answer(request);
+			return this._service.handleRequest(request);
 		}
-		const isOver = new AbortController();
+		const abortController = new AbortController();
 		try {
-			const call = this._wire.call(peer.address, forwardMethod, request, FORWARD_TIMEOUT_MS);
-			return await Promise.race([call, this._leaderLost(leader!, isOver.signal)]);
+			const call = this._transport.call(peer.address, forwardMethod, request, LEADER_RESPONSE_TIMEOUT_MS);
+			return await Promise.race([call, this._rejectOnLeaderChange(leader!, abortController.signal)]);
 		} catch (error) {
-			const message = `the leader ${leader} did not answer: ${(error as Error).message}`;
+			const message = `the leader ${leader} did not respond: ${(error as Error).message}`;
 			const body = { code: 'leader-unreachable', message, verdict: 'may-have-run' };
 			return { status: 503, body, retryAfterMs: RETRY_AFTER_MS };
 		} finally {
-			isOver.abort();
+			abortController.abort();
 		}
 	}
 
-	/** Rejects when another instance leads: one that was frozen or cut off will not answer, and asking again is safe. */
-	private async _leaderLost(leader: string, signal: AbortSignal): Promise<never> {
+	/**
+	 * Rejects when another instance becomes the leader: the previous one may be suspended or partitioned and never respond.
+	 * The operator can safely send the request again.
+	 */
+	private async _rejectOnLeaderChange(leader: string, signal: AbortSignal): Promise<never> {
 		while (!signal.aborted) {
-			await new Promise(resolve => setTimeout(resolve, LEADER_POLL_MS));
+			await new Promise(resolve => setTimeout(resolve, LEADER_POLL_INTERVAL_MS));
 			const now = this._agreement.status().leader;
 			if (now !== undefined && now !== leader) {
-				throw new Error(`${now} leads now`);
+				throw new Error(`${now} has become the leader`);
 			}
 		}
-		throw new Error('over');
+		throw new Error('the forwarded request has been settled');
 	}
 
-	private _send(response: HttpResponse, answer: OperatorResponse): void {
-		if (answer.retryAfterMs !== undefined) {
-			response.setHeader('Retry-After', Math.ceil(answer.retryAfterMs / MS_PER_SECOND));
+	private _sendResponse(response: HttpResponse, operatorResponse: OperatorResponse): void {
+		if (operatorResponse.retryAfterMs !== undefined) {
+			response.setHeader('Retry-After', Math.ceil(operatorResponse.retryAfterMs / MS_PER_SECOND));
 		}
-		sendJson(response, answer.status, answer.body);
+		sendJson(response, operatorResponse.status, operatorResponse.body);
 	}
 }
 
--- a/src/plugins/operators/node/operatorService.ts
+++ b/src/plugins/operators/node/operatorService.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Answers operators' requests on the leader. */
+/** Handles operators' requests on the leader. */
 
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
@@ -30,20 +30,20 @@
 import type { ControlSteeringSettings } from '../../shifts/common/shiftSettings.js';
 import type {
 	ConfirmResponse,
-	InForce,
+	InForceStatus,
 	OperatorErrorBody,
 	OperatorRequest,
 	OperatorResponse,
 	StatusResponse
 } from '../common/operatorApi.js';
 
-const IN_FORCE_WAIT_MS = 2000;
+const IN_FORCE_TIMEOUT_MS = 2000;
 const PLAN_ID_LENGTH = 16;
 const RETRY_AFTER_MS = 500;
 const PLAN_PATH = /^\/v1\/plans\/([0-9a-f]+)(\/confirm|\/stop)?$/;
 const MEMBER_PATH = /^\/v1\/members\/([A-Za-z0-9_-]+)\/remove$/;
 
-/** An answer that is an error. */
+/** Aborts the handling of a request with an error response. */
 class OperatorError extends Error {
 	constructor(
 		readonly status: number,
@@ -55,16 +55,16 @@
 	}
 }
 
-/** Answers operators' requests. */
+/** Handles operators' requests. */
 export interface IOperatorService {
-	/** Answers one request; with an error when this instance does not lead. */
-	answer(request: OperatorRequest): Promise<OperatorResponse>;
+	/** Resolves with an error response if this instance is not the leader. */
+	handleRequest(request: OperatorRequest): Promise<OperatorResponse>;
 }
 
-/** Identifier of the operator service. */
+/** Service identifier of the operator service. */
 export const IOperatorService = createServiceIdentifier<IOperatorService>('operatorService');
 
-/** Answers operators' requests; only the leader with a lease does. */
+/** Handles operators' requests while this instance is the leader and holds the lease. */
 export class OperatorService implements IOperatorService {
 	private readonly _lookupTtlMs: number;
 
@@ -78,10 +78,13 @@
 		this._lookupTtlMs = settings.section<ControlSteeringSettings>('steering').lookupTtlMs;
 	}
 
-	/** Answers one request; the lease is checked before and after, so that a leader that was frozen answers nothing stale. */
-	async answer(request: OperatorRequest): Promise<OperatorResponse> {
+	/**
+	 * Checks the lease before and after handling the request, so that a leader that was suspended meanwhile returns no stale
+	 * response.
+	 */
+	async handleRequest(request: OperatorRequest): Promise<OperatorResponse> {
 		if (!this._agreement.hasLease()) {
-			return noLeaderAnswer('not-run');
+			return noLeaderResponse('not-run');
 		}
 		let response: OperatorResponse;
 		try {
@@ -89,7 +92,7 @@
 		} catch (error) {
 			response = toErrorResponse(error as Error);
 		}
-		return this._agreement.hasLease() ? response : noLeaderAnswer('may-have-run');
+		return this._agreement.hasLease() ? response : noLeaderResponse('may-have-run');
 	}
 
 	private async _route(request: OperatorRequest): Promise<OperatorResponse> {
@@ -98,7 +101,7 @@
 			return { status: 200, body: await this._submitIntent(request.body) };
 		}
 		if (method === 'GET' && path === '/v1/status') {
-			return { status: 200, body: this._status() };
+			return { status: 200, body: this._getStatus() };
 		}
 		if (method === 'GET' && path === '/v1/explain') {
 			return { status: 200, body: this._explain(request.query) };
@@ -109,7 +112,7 @@
 		}
 		const plan = PLAN_PATH.exec(path);
 		if (plan && method === 'GET' && !plan[2]) {
-			return { status: 200, body: this._planRecord(plan[1]!) };
+			return { status: 200, body: this._getPlanRecord(plan[1]!) };
 		}
 		if (plan && method === 'POST' && plan[2] === '/confirm') {
 			return { status: 200, body: await this._confirm(plan[1]!, request.body) };
@@ -117,33 +120,37 @@
 		if (plan && method === 'POST' && plan[2] === '/stop') {
 			return { status: 200, body: await this._stop(plan[1]!) };
 		}
-		throw new OperatorError(404, { code: 'not-found', message: `there is no ${method} ${path}`, verdict: 'not-run' });
+		throw new OperatorError(404, {
+			code: 'not-found',
+			message: `no endpoint for ${method} ${path}`,
+			verdict: 'not-run'
+		});
 	}
 
 	private async _submitIntent(body: unknown): Promise<Plan> {
-		const request = check(intentRequestSchema, body);
+		const request = validateBody(intentRequestSchema, body);
 		const key = requestKey(request.operator, request.number, ['intent', request.intent, request.baseRevision ?? null]);
-		const before = this._control.state.storedAnswer(key);
-		if (before) {
-			return planOf(before);
+		const storedResult = this._control.state.storedAnswer(key);
+		if (storedResult) {
+			return planFromResult(storedResult);
 		}
-		const plan = this._makePlan(request.operator, key, request.intent);
+		const plan = this._createPlan(request.operator, key, request.intent);
 		if (request.baseRevision !== undefined) {
-			this._requireBase(plan, request.baseRevision);
+			this._assertBaseUnchanged(plan, request.baseRevision);
 		}
-		return planOf(await this._propose({ type: 'storePlan', request: key, plan }));
+		return planFromResult(await this._propose({ type: 'storePlan', request: key, plan }));
 	}
 
-	private _requireBase(plan: Plan, baseRevision: Revision): void {
+	private _assertBaseUnchanged(plan: Plan, baseRevision: Revision): void {
 		const changed = this._control.state.changedSince(plan.touches, baseRevision);
 		if (changed.length === 0) {
 			return;
 		}
-		const message = `since revision ${baseRevision} there were changes of ${changed.join(', ')}`;
+		const message = `changed since revision ${baseRevision}: ${changed.join(', ')}`;
 		throw new OperatorError(409, { code: RefusalCode.BaseMoved, message, changed, plan, verdict: 'not-run' });
 	}
 
-	private _makePlan(operator: string, key: OperatorRequestKey, intent: Intent): Plan {
+	private _createPlan(operator: string, key: OperatorRequestKey, intent: Intent): Plan {
 		const { configuration } = this._control.state;
 		const entries = [...this._membership.live(), ...this._membership.silent()];
 		const regions = [...new Set(entries.map(entry => entry.report.identity.region))].sort();
@@ -151,14 +158,14 @@
 		const draft = draftPlan(intent, { configuration, measurements, regions, lookupTtlMs: this._lookupTtlMs });
 		const forecast = forecastHeadroom(draft.stages, measurements, configuration);
 		if (forecast.overloaded.length > 0) {
-			const named = forecast.overloaded.map(
+			const overloads = forecast.overloaded.map(
 				entry => `${entry.region} would need ${entry.usedAfter} of ${entry.slots} slots of ${entry.service}`
 			);
-			throw new OperatorError(409, { code: 'overloads-region', message: named.join('; '), verdict: 'not-run' });
+			throw new OperatorError(409, { code: 'overloads-region', message: overloads.join('; '), verdict: 'not-run' });
 		}
-		const allowsLoss = 'allowOverloadOnRegionLoss' in intent && intent.allowOverloadOnRegionLoss === true;
+		const allowsRegionLossOverload = 'allowOverloadOnRegionLoss' in intent && intent.allowOverloadOnRegionLoss === true;
 		const movesClients = draft.stages.some(stage => stage.moves.length > 0);
-		if (movesClients && forecast.overloadedOnLoss.length > 0 && !allowsLoss) {
+		if (movesClients && forecast.overloadedOnLoss.length > 0 && !allowsRegionLossOverload) {
 			throw new OperatorError(409, {
 				code: 'overloads-on-region-loss',
 				message: forecast.overloadedOnLoss.join('; '),
@@ -184,43 +191,43 @@
 	}
 
 	private async _confirm(planId: string, body: unknown): Promise<ConfirmResponse> {
-		const request = check(confirmRequestSchema, body);
+		const request = validateBody(confirmRequestSchema, body);
 		const key = requestKey(request.operator, request.number, ['confirm', planId, request.digest]);
 		const command: ControlCommand = { type: 'confirmPlan', request: key, planId, digest: request.digest };
 		const result = await this._propose(command);
 		if (!result.ok) {
-			throw await this._refusalError(result, planId);
+			throw await this._createRefusalError(result, planId);
 		}
 		await this._shifts.advance();
 		const revision = this._control.state.plan(planId)?.stageRevision || this._control.state.configuration.revision;
-		return { planId, revision, inForce: await this._waitInForce(revision) };
+		return { planId, revision, inForce: await this._waitUntilInForce(revision) };
 	}
 
-	/** A plan whose base moved comes back with a fresh one under an id of its own. */
-	private async _refusalError(refusal: Refusal, planId: string): Promise<OperatorError> {
+	/** If the base of the plan has changed, the error contains a new plan for the same intent, with an id of its own. */
+	private async _createRefusalError(refusal: Refusal, planId: string): Promise<OperatorError> {
 		const body: OperatorErrorBody = { code: refusal.code, message: refusal.message, verdict: 'not-run' };
-		const old = this._control.state.plan(planId)?.plan;
-		if (refusal.code !== RefusalCode.BaseMoved || !old) {
+		const oldPlan = this._control.state.plan(planId)?.plan;
+		if (refusal.code !== RefusalCode.BaseMoved || !oldPlan) {
 			return new OperatorError(refusal.code === RefusalCode.UnknownPlan ? 404 : 409, body);
 		}
 		const { revision } = this._control.state.configuration;
-		const key = requestKey(`replan:${planId}`, revision, ['replan', old.intent]);
+		const key = requestKey(`replan:${planId}`, revision, ['replan', oldPlan.intent]);
 		try {
-			const plan = this._makePlan(old.operator, key, old.intent);
-			const stored = planOf(await this._propose({ type: 'storePlan', request: key, plan }));
+			const plan = this._createPlan(oldPlan.operator, key, oldPlan.intent);
+			const stored = planFromResult(await this._propose({ type: 'storePlan', request: key, plan }));
 			return new OperatorError(409, { ...body, changed: refusal.changed, plan: stored });
 		} catch (error) {
-			const why = `${body.message}; a fresh plan cannot be made: ${(error as Error).message}`;
-			return new OperatorError(409, { ...body, message: why, changed: refusal.changed });
+			const replanMessage = `${body.message}; cannot create a new plan: ${(error as Error).message}`;
+			return new OperatorError(409, { ...body, message: replanMessage, changed: refusal.changed });
 		}
 	}
 
 	private async _stop(planId: string): Promise<{ planId: string; status: PlanStatus; stagesBegun: number }> {
-		const status = this._planRecord(planId).status;
+		const status = this._getPlanRecord(planId).status;
 		if (status !== PlanStatus.Stopped && status !== PlanStatus.Done) {
 			await this._propose({ type: 'stopPlan', planId });
 		}
-		const record = this._planRecord(planId);
+		const record = this._getPlanRecord(planId);
 		return { planId, status: record.status, stagesBegun: record.stagesBegun };
 	}
 
@@ -232,23 +239,23 @@
 			throw new OperatorError(404, { code: 'unknown-member', message, field: 'member', allowed, verdict: 'not-run' });
 		}
 		if (!(await this._agreement.removeMember(id))) {
-			const message = `'${id}' cannot be removed now: it leads, or another change of members is under way`;
+			const message = `cannot remove '${id}': it is the leader, or another membership change is in progress`;
 			throw new OperatorError(409, { code: 'wrong-state', message, verdict: 'not-run' }, RETRY_AFTER_MS);
 		}
 		return { removed: id };
 	}
 
-	private _planRecord(planId: string) {
+	private _getPlanRecord(planId: string) {
 		const record = this._control.state.plan(planId);
 		if (!record) {
 			const message = `there is no plan '${planId}'`;
 			throw new OperatorError(404, { code: RefusalCode.UnknownPlan, message, verdict: 'not-run' });
 		}
-		return { ...record, inForce: this._inForce(record.stageRevision) };
+		return { ...record, inForce: this._getInForceStatus(record.stageRevision) };
 	}
 
-	private _status(): StatusResponse {
-		const replica = this._agreement.status();
+	private _getStatus(): StatusResponse {
+		const replicaStatus = this._agreement.status();
 		const { state } = this._control;
 		const describe = (silent: boolean) => (entry: ReturnType<IEntryMembership['live']>[number]) => ({
 			instance: entry.report.identity.instance,
@@ -262,17 +269,17 @@
 		});
 		const live = this._membership.live().map(describe(false));
 		const silent = this._membership.silent().map(describe(true));
-		const open = state.plans.filter(record => record.status !== PlanStatus.Proposed);
+		const confirmedPlans = state.plans.filter(record => record.status !== PlanStatus.Proposed);
 		return {
-			instance: replica.id,
-			leader: replica.leader ?? '',
-			term: replica.term,
+			instance: replicaStatus.id,
+			leader: replicaStatus.leader ?? '',
+			term: replicaStatus.term,
 			revision: state.configuration.revision,
-			members: replica.members.map(member => ({ id: member.id, role: member.role })),
+			members: replicaStatus.members.map(member => ({ id: member.id, role: member.role })),
 			entries: [...live, ...silent],
 			groups: state.configuration.groups.map(group => ({ ...group })),
 			leaving: state.configuration.leaving.map(item => ({ ...item })),
-			plans: open.map(record => ({
+			plans: confirmedPlans.map(record => ({
 				planId: record.plan.planId,
 				intent: record.plan.intent,
 				status: record.status,
@@ -289,7 +296,7 @@
 		return { plan: record, decisions };
 	}
 
-	private _inForce(revision: Revision): InForce {
+	private _getInForceStatus(revision: Revision): InForceStatus {
 		const live = this._membership.live();
 		const silent = this._membership.silent();
 		const behind = live.filter(entry => entry.report.revisionInForce < revision);
@@ -300,20 +307,20 @@
 		};
 	}
 
-	private async _waitInForce(revision: Revision): Promise<InForce> {
+	private async _waitUntilInForce(revision: Revision): Promise<InForceStatus> {
 		const isInForce = (): boolean => this._membership.live().every(entry => entry.report.revisionInForce >= revision);
 		if (!isInForce()) {
 			await new Promise<void>(resolve => {
-				const finish = (): void => {
+				const settle = (): void => {
 					subscription.dispose();
 					clearTimeout(timer);
 					resolve();
 				};
-				const timer = setTimeout(finish, IN_FORCE_WAIT_MS);
-				const subscription = this._membership.onDidReport(() => isInForce() && finish());
+				const timer = setTimeout(settle, IN_FORCE_TIMEOUT_MS);
+				const subscription = this._membership.onDidReport(() => isInForce() && settle());
 			});
 		}
-		return this._inForce(revision);
+		return this._getInForceStatus(revision);
 	}
 
 	private _propose(body: ControlCommand): Promise<ControlResult> {
@@ -321,8 +328,8 @@
 	}
 }
 
-/** Checks a body; the error names the first field at fault and what is allowed. */
-function check<T>(schema: z.ZodType<T>, body: unknown): T {
+/** Parses a request body; the error response names the first invalid field and the allowed values. */
+function validateBody<T>(schema: z.ZodType<T>, body: unknown): T {
 	const result = schema.safeParse(body);
 	if (result.success) {
 		return result.data;
@@ -336,12 +343,12 @@
 	throw new OperatorError(400, { code: 'bad-request', message, field, allowed, verdict: 'not-run' });
 }
 
-function planOf(result: ControlResult): Plan {
+function planFromResult(result: ControlResult): Plan {
 	if (!result.ok) {
 		throw new OperatorError(409, { code: result.code, message: result.message, verdict: 'not-run' });
 	}
 	if (!('plan' in result)) {
-		const message = 'this number was used for a confirm';
+		const message = 'this request number has been used to confirm a plan';
 		throw new OperatorError(409, { code: RefusalCode.NumberReused, message, verdict: 'not-run' });
 	}
 	return result.plan;
@@ -355,8 +362,8 @@
 	return createHash('sha256').update(JSON.stringify(content)).digest('hex');
 }
 
-function noLeaderAnswer(verdict: OperatorErrorBody['verdict']): OperatorResponse {
-	const body: OperatorErrorBody = { code: 'no-leader', message: 'no control instance leads now', verdict };
+function noLeaderResponse(verdict: OperatorErrorBody['verdict']): OperatorResponse {
+	const body: OperatorErrorBody = { code: 'no-leader', message: 'there is currently no leader', verdict };
 	return { status: 503, body, retryAfterMs: RETRY_AFTER_MS };
 }
 
@@ -369,10 +376,10 @@
 		return { status: 409, body: { code, message, field, allowed, verdict: 'not-run' } };
 	}
 	if (error instanceof NotLeaderError) {
-		return noLeaderAnswer('not-run');
+		return noLeaderResponse('not-run');
 	}
 	if (error instanceof OutcomeUnknownError) {
-		return noLeaderAnswer('may-have-run');
+		return noLeaderResponse('may-have-run');
 	}
 	throw error;
 }
--- a/src/plugins/operators/operators.plugin.ts
+++ b/src/plugins/operators/operators.plugin.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Registers the operator port. */
+/** Registers the listener for operators and the service behind it. */
 
 import { ContributionPhase, pluginRegistry, ProcessKind } from '../../kernel/common/pluginRegistry.js';
 import { OperatorServer } from './node/operatorServer.js';
