--- a/src/plugins/commandLine/common/requestExplanation.ts
+++ b/src/plugins/commandLine/common/requestExplanation.ts
@@ -2,9 +2,9 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Reads the log lines of processes and tells how one request went. */
+/** Describes how one request was processed, from the request log lines of the entry instances. */
 
-interface LoggedPassedTarget {
+interface LoggedSkippedTarget {
 	readonly target: string;
 	readonly restLeftMs?: number;
 	readonly limitPerSecond?: number;
@@ -17,12 +17,12 @@
 	readonly load: number;
 	readonly slots: number;
 	readonly isCold: boolean;
-	readonly passedOver?: LoggedPassedTarget;
+	readonly passedOver?: LoggedSkippedTarget;
 	readonly outcome: string;
 	readonly tookMs: number;
 }
 
-interface LoggedLine {
+interface RequestLogEntry {
 	readonly time?: string;
 	readonly instance?: string;
 	readonly message?: string;
@@ -40,55 +40,57 @@
 	readonly attempts?: readonly LoggedAttempt[];
 }
 
-function parseLine(line: string): LoggedLine | undefined {
+function parseLine(line: string): RequestLogEntry | undefined {
 	const start = line.indexOf('{');
 	if (start < 0) {
 		return undefined;
 	}
 	try {
-		return JSON.parse(line.slice(start)) as LoggedLine;
+		return JSON.parse(line.slice(start)) as RequestLogEntry;
 	} catch {
 		return undefined;
 	}
 }
 
-function describePassed({ target, restLeftMs, limitPerSecond }: LoggedPassedTarget): string {
+function describeSkippedTarget({ target, restLeftMs, limitPerSecond }: LoggedSkippedTarget): string {
 	return limitPerSecond === undefined
-		? `${target} wanted ${restLeftMs} ms more of rest`
-		: `${target} was at its limit of ${limitPerSecond} requests a second`;
+		? `${target} was backing off for another ${restLeftMs} ms`
+		: `${target} had reached its rate limit of ${limitPerSecond} requests per second`;
 }
 
 function describeAttempt(attempt: LoggedAttempt, number: number): string {
 	const cold = attempt.isCold ? ', cold' : '';
-	const passed = attempt.passedOver ? `; its object's target ${describePassed(attempt.passedOver)}` : '';
+	const skipped = attempt.passedOver
+		? `; the object's preferred target ${describeSkippedTarget(attempt.passedOver)}`
+		: '';
 	return (
 		`  attempt ${number} after ${attempt.atMs} ms: target ${attempt.target} in ${attempt.region}, ` +
-		`${attempt.load} requests at ${attempt.slots} slots${cold}; ${attempt.outcome} after ${attempt.tookMs} ms${passed}`
+		`estimated load ${attempt.load} requests, ${attempt.slots} slots${cold}; ${attempt.outcome} after ${attempt.tookMs} ms${skipped}`
 	);
 }
 
-function describe(line: LoggedLine): string[] {
-	const what = [line.status, line.reason].filter(part => part !== undefined).join(' ');
+function describeRequest(entry: RequestLogEntry): string[] {
+	const status = [entry.status, entry.reason].filter(part => part !== undefined).join(' ');
 	return [
-		`${line.time ?? '?'} ${line.instance ?? '?'}: ${line.end ?? '?'} ${what}`.trimEnd(),
-		`  route ${line.route}, service ${line.service}, object ${line.object ?? 'none'}, table ${line.tableVersion}`,
-		`  held ${line.heldMs} ms of ${line.remainingMs} ms; the fleet was known as of ${line.viewAgeMs} ms before`,
-		...(line.attempts ?? []).map((attempt, i) => describeAttempt(attempt, i + 1)),
-		...((line.attempts ?? []).length === 0 ? ['  no target was asked'] : [])
+		`${entry.time ?? '?'} ${entry.instance ?? '?'}: ${entry.end ?? '?'} ${status}`.trimEnd(),
+		`  route ${entry.route}, service ${entry.service}, object ${entry.object ?? 'none'}, table ${entry.tableVersion}`,
+		`  took ${entry.heldMs} ms of the allowed ${entry.remainingMs} ms; the view of the fleet was ${entry.viewAgeMs} ms old`,
+		...(entry.attempts ?? []).map((attempt, i) => describeAttempt(attempt, i + 1)),
+		...((entry.attempts ?? []).length === 0 ? ['  no attempt was made'] : [])
 	];
 }
 
 /**
- * What the lines say of a request; empty where they say nothing.
- * @param lines log lines, with or without something before their JSON
+ * Describes a request in text lines; returns none if no log line is about it.
+ * @param lines log lines; text before the JSON object of a line is ignored
  */
 export function explainRequest(lines: Iterable<string>, requestId: string): string[] {
-	const told: string[] = [];
-	for (const text of lines) {
-		const line = text.includes(requestId) ? parseLine(text) : undefined;
-		if (line?.requestId === requestId && line.message === 'request') {
-			told.push(...describe(line));
+	const explanation: string[] = [];
+	for (const line of lines) {
+		const entry = line.includes(requestId) ? parseLine(line) : undefined;
+		if (entry?.requestId === requestId && entry.message === 'request') {
+			explanation.push(...describeRequest(entry));
 		}
 	}
-	return told;
+	return explanation;
 }
--- a/src/plugins/commandLine/test/requestExplanation.test.ts
+++ b/src/plugins/commandLine/test/requestExplanation.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A request told from log lines, as they stand in a file or behind another program's stamp. */
+/** Tests for the description of a request from log lines, plain ones or with a prefix added by another program. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -27,13 +27,13 @@
 	]
 });
 
-test('a request is told with its route, its attempts and its end', () => {
-	const told = explainRequest(['no line', `  12.5 entry-1 ${LINE}`, '{"broken'], 'r-1');
-	assert.match(told[0]!, /entry-1: refused 503 no-capacity/);
-	assert.match(told.join('\n'), /attempt 1 after 1 ms: target t-1 .* cold; not-run: full after 9 ms/);
+test('describes the outcome and the attempts of a request', () => {
+	const explanation = explainRequest(['no line', `  12.5 entry-1 ${LINE}`, '{"broken'], 'r-1');
+	assert.match(explanation[0]!, /entry-1: refused 503 no-capacity/);
+	assert.match(explanation.join('\n'), /attempt 1 after 1 ms: target t-1 .* cold; not-run: full after 9 ms/);
 });
 
-test('an attempt says which target its object belongs to, where that one wanted rest', () => {
+test('an attempt names the preferred target of the object if that was skipped because of backoff', () => {
 	const attempt = {
 		target: 't-2',
 		region: 'r',
@@ -41,9 +41,9 @@
 		outcome: 'answer: 200'
 	};
 	const line = JSON.stringify({ message: 'request', requestId: 'r-3', attempts: [attempt] });
-	assert.match(explainRequest([line], 'r-3').join('\n'), /target t-1 wanted 1200 ms more of rest/);
+	assert.match(explainRequest([line], 'r-3').join('\n'), /target t-1 was backing off for another 1200 ms/);
 });
 
-test('of another request nothing is told', () => {
+test('other requests are not described', () => {
 	assert.deepEqual(explainRequest([LINE], 'r-2'), []);
 });
