--- a/src/plugins/commandLine/node/planCommands.ts
+++ b/src/plugins/commandLine/node/planCommands.ts
@@ -150,7 +150,7 @@
 	}
 	const explanation = explainRequest(lines, id);
 	const notFoundMessage =
-		'No log line for this request: it was received by another instance, or its log line was dropped by sampling.';
+		'No log line for this request: none of these instances received it, or its log line was dropped by sampling.';
 	printResult(args, { requestId: id, told: explanation }, () =>
 		explanation.length > 0 ? explanation.join('\n') : notFoundMessage
 	);
--- a/src/plugins/operators/node/operatorService.ts
+++ b/src/plugins/operators/node/operatorService.ts
@@ -154,9 +154,14 @@
 		const { configuration } = this._control.state;
 		const entries = [...this._membership.live(), ...this._membership.silent()];
 		const regions = [...new Set(entries.map(entry => entry.report.identity.region))].sort();
-		const measurements = new Measurements(this._membership.live(), systemClock.now());
-		const draft = draftPlan(intent, { configuration, measurements, regions, lookupTtlMs: this._lookupTtlMs });
-		const forecast = forecastHeadroom(draft.stages, measurements, configuration);
+		const measuredLoads = new Measurements(this._membership.live(), systemClock.now());
+		const draft = draftPlan(intent, {
+			configuration,
+			measurements: measuredLoads,
+			regions,
+			lookupTtlMs: this._lookupTtlMs
+		});
+		const forecast = forecastHeadroom(draft.stages, measuredLoads, configuration);
 		if (forecast.overloaded.length > 0) {
 			const overloads = forecast.overloaded.map(
 				entry => `${entry.region} would need ${entry.usedAfter} of ${entry.slots} slots of ${entry.service}`
