--- a/test/fakes/describeEntry.ts
+++ b/test/fakes/describeEntry.ts
@@ -2,11 +2,9 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Entry instances for tests. */
-
 import type { EntryDescription } from '../../src/plugins/fleet/common/fleetTypes.js';
 
-/** An entry instance that is ready, with what a test changes of it. */
+/** Describes a ready entry instance, with the given fields replaced. */
 export function describeEntry(changed: Partial<EntryDescription> = {}): EntryDescription {
 	return {
 		name: 'e',
--- a/test/fakes/fakeTarget.ts
+++ b/test/fakes/fakeTarget.ts
@@ -3,9 +3,9 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * A stand-in for a target: it has slots, starts cold, sheds load, lies on demand, and keeps a journal of what it ran.
+ * Fake target with slots, cold start, load shedding, injected failures and false reports, and a journal of the requests that it ran.
  *
- * Started as a process of its own: `node fakeTarget.js '{"name":"t1",...}'`; prints `{"url":…}` when it listens.
+ * Run as a separate process: `node fakeTarget.js '{"name":"t1",...}'`; prints `{"url":…}` when it listens.
  */
 
 import { createHash } from 'node:crypto';
@@ -13,38 +13,39 @@
 import type { AddressInfo } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** What a target is started with. */
+/** Command-line argument of the process, as JSON. */
 export interface FakeTargetOptions {
 	readonly name: string;
 	readonly service: string;
 	readonly slots: number;
-	/** Time of work when a request names none. */
+	/** Service time of requests without the query parameter `workMs`. */
 	readonly workMs: number;
-	/** For this long after the start all work takes `coldFactor` times as long. */
+	/** For this time after the start, the service time is multiplied by `coldFactor`. */
 	readonly coldMs: number;
 	readonly coldFactor: number;
 }
 
-/** What can be changed while it runs, by `POST /_control`. */
+/** Behavior that can be changed at run time with `POST /_control`. */
 export interface FakeTargetBehavior {
-	/** It answers with the header that says that it leaves. */
+	/** Whether responses announce by a header that the target is shutting down. */
 	leaving: boolean;
-	/** Beyond its slots it refuses with 503 instead of working. */
+	/** Whether requests beyond the slots are rejected with status 503. */
 	shedLoad: boolean;
-	/** Part of requests that it answers with 500, 0 to 1. */
+	/** Fraction of requests answered with status 500, 0 to 1. */
 	failRatio: number;
-	/** Part of requests whose connection it cuts after working, 0 to 1. */
+	/** Fraction of requests whose connection is closed without a response after they ran, 0 to 1. */
 	cutRatio: number;
-	/** Work takes this many times as long. */
+	/** Factor on the service time. */
 	slowFactor: number;
-	/** What `/_health` and `/_load` say instead of the truth. */
+	/** Value that `/_health` returns instead of the actual one. */
 	health?: string;
+	/** Value that `/_load` returns instead of the actual one. */
 	load?: number;
-	/** How old the answers of `/_load` are. */
+	/** Age of the load that `/_load` returns. */
 	loadLagMs: number;
 }
 
-/** One run of a request. */
+/** One run of a request; times are Unix times in ms. */
 export interface JournalEntry {
 	readonly requestId: string;
 	readonly orderKey: string;
@@ -54,26 +55,26 @@
 	outcome: 'running' | 'answered' | 'failed' | 'cut' | 'cancelled' | 'shed';
 }
 
-/** What `GET /_journal` answers with. */
+/** Response of `GET /_journal`. */
 export interface Journal {
 	readonly name: string;
 	readonly runs: readonly JournalEntry[];
-	/** Runs that began while all slots were taken. */
+	/** Runs that started while all slots were in use. */
 	readonly overSlots: number;
+	/** Maximum number of concurrent runs. */
 	readonly mostAtOnce: number;
 }
 
 const CHUNK_BYTES = 16 * 1024;
 const LINE_WIDTH = 80;
 
-/** The stand-in. */
 class FakeTarget {
 	private readonly _startedAt = Date.now();
 	private readonly _runs: JournalEntry[] = [];
-	private readonly _loads: { at: number; active: number }[] = [];
+	private readonly _loadSamples: { at: number; active: number }[] = [];
 	private _active = 0;
 	private _overSlots = 0;
-	private _mostAtOnce = 0;
+	private _maxActive = 0;
 	private readonly _behavior: FakeTargetBehavior = {
 		leaving: false,
 		shedLoad: false,
@@ -104,21 +105,21 @@
 	}
 
 	private _journal(): Journal {
-		const { _overSlots: overSlots, _mostAtOnce: mostAtOnce } = this;
+		const { _overSlots: overSlots, _maxActive: mostAtOnce } = this;
 		return { name: this._options.name, runs: this._runs, overSlots, mostAtOnce };
 	}
 
 	private _laggingLoad(): number {
 		const until = Date.now() - this._behavior.loadLagMs;
-		const seen = this._loads.filter(sample => sample.at <= until).at(-1);
-		return (seen?.active ?? 0) / this._options.slots;
+		const latest = this._loadSamples.filter(sample => sample.at <= until).at(-1);
+		return (latest?.active ?? 0) / this._options.slots;
 	}
 
 	private async _run(request: IncomingMessage, response: ServerResponse, url: URL, body: Buffer): Promise<void> {
 		const entry: JournalEntry = {
-			requestId: header(request, 'shelffield-request-id'),
-			orderKey: header(request, 'shelffield-order-key'),
-			group: header(request, 'shelffield-group'),
+			requestId: headerValue(request, 'shelffield-request-id'),
+			orderKey: headerValue(request, 'shelffield-order-key'),
+			group: headerValue(request, 'shelffield-group'),
 			startedAt: Date.now(),
 			outcome: 'running'
 		};
@@ -130,7 +131,7 @@
 			return;
 		}
 		this._runs.push(entry);
-		this._begin();
+		this._recordStart();
 		const cancelled = new AbortController();
 		response.once('close', () => !response.writableFinished && cancelled.abort());
 		try {
@@ -139,25 +140,25 @@
 			entry.outcome = 'cancelled';
 		} finally {
 			entry.endedAt = Date.now();
-			this._end();
+			this._recordEnd();
 		}
 	}
 
-	private _begin(): void {
+	private _recordStart(): void {
 		this._active++;
 		this._overSlots += this._active > this._options.slots ? 1 : 0;
-		this._mostAtOnce = Math.max(this._mostAtOnce, this._active);
-		this._noteLoad();
+		this._maxActive = Math.max(this._maxActive, this._active);
+		this._recordLoad();
 	}
 
-	private _end(): void {
+	private _recordEnd(): void {
 		this._active--;
-		this._noteLoad();
+		this._recordLoad();
 	}
 
-	private _noteLoad(): void {
-		this._loads.push({ at: Date.now(), active: this._active });
-		this._loads.splice(0, this._loads.length - 1000);
+	private _recordLoad(): void {
+		this._loadSamples.push({ at: Date.now(), active: this._active });
+		this._loadSamples.splice(0, this._loadSamples.length - 1000);
 	}
 
 	private async _work(
@@ -168,9 +169,9 @@
 		entry: JournalEntry,
 		signal: AbortSignal
 	): Promise<void> {
-		const deadlineMs = Number(header(request, 'shelffield-deadline-ms') || Number.MAX_SAFE_INTEGER);
-		const wanted = Number(url.searchParams.get('workMs') ?? this._options.workMs);
-		const workMs = Math.min(wanted * this._slowness(), deadlineMs);
+		const deadlineMs = Number(headerValue(request, 'shelffield-deadline-ms') || Number.MAX_SAFE_INTEGER);
+		const requestedMs = Number(url.searchParams.get('workMs') ?? this._options.workMs);
+		const workMs = Math.min(requestedMs * this._workFactor(), deadlineMs);
 		const bytes = Number(url.searchParams.get('bytes') ?? 0);
 		if (bytes > 0) {
 			await streamBytes(response, bytes, workMs, signal);
@@ -202,15 +203,15 @@
 		});
 	}
 
-	private _slowness(): number {
+	private _workFactor(): number {
 		const isCold = Date.now() - this._startedAt < this._options.coldMs;
-		// Beyond its slots the work shares what the slots can do.
-		const crowding = Math.max(1, this._active / this._options.slots);
-		return this._behavior.slowFactor * (isCold ? this._options.coldFactor : 1) * crowding;
+		// Requests beyond the slots share the capacity of the slots.
+		const contention = Math.max(1, this._active / this._options.slots);
+		return this._behavior.slowFactor * (isCold ? this._options.coldFactor : 1) * contention;
 	}
 }
 
-/** Streams lines whose last is the SHA-256 of all before it, over the given time. */
+/** Streams the given number of bytes over `workMs`, followed by their SHA-256 as a hexadecimal digest. */
 async function streamBytes(
 	response: ServerResponse,
 	bytes: number,
@@ -235,7 +236,7 @@
 	response.end(hash.digest('hex'));
 }
 
-function header(request: IncomingMessage, name: string): string {
+function headerValue(request: IncomingMessage, name: string): string {
 	return String(request.headers[name] ?? '');
 }
 
--- a/test/fakes/platformList.ts
+++ b/test/fakes/platformList.ts
@@ -3,15 +3,15 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * A stand-in for the platform's list of targets: it lags behind what it is told, and can be made to flap.
+ * Fake of the platform's target list, run as a separate process. Changes of a target's state can be delayed.
  *
- * `POST /_set` takes `{targets}` or `{name, state, lagMs}`; `GET /v1/targets` is the list.
+ * `POST /_set` takes `{targets}` or `{name, state, lagMs}`; `GET /v1/targets` returns the list.
  */
 
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** One target as the platform lists it. */
+/** A target in the response of `GET /v1/targets`. */
 export interface PlatformTarget {
 	readonly name: string;
 	readonly service: string;
@@ -22,7 +22,7 @@
 	state: 'live' | 'leaving';
 }
 
-/** What `POST /_set` takes. */
+/** Body of `POST /_set`: either replaces the whole list, or changes the state of one target after a delay. */
 interface SetRequest {
 	readonly targets?: PlatformTarget[];
 	readonly name?: string;
--- a/test/runTests.ts
+++ b/test/runTests.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Runs every test file below the compiled project with the runner of Node.js: those of the features a few at a time, then
- * those with whole systems one at a time, since an instance that is started again needs the port that it had.
+ * Runs all compiled test files, or those whose path contains the first argument, with the Node.js test runner. Files below `src` run in
+ * parallel; files below `test` start whole systems and run one at a time, since a restarted instance needs its previous port to be free.
  */
 
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
@@ -13,13 +13,12 @@
 import { spec } from 'node:test/reporters';
 import { OUT_FOLDER } from './local/childProcess.js';
 
-const UNIT_FILES_AT_ONCE = 4;
-/** No test waits longer than this for an event that does not come. */
-const TIMEOUT_MS = 120000;
+const UNIT_TEST_CONCURRENCY = 4;
+const TEST_TIMEOUT_MS = 120000;
 
 const KNOWN_RED_FILE = join(OUT_FOLDER, '..', 'KNOWN-RED.txt');
 
-/** Names of the tests whose failure is known: the first field of each line, parted by `|`. */
+/** Names of tests whose failures do not fail the run: the first field of each line, with `|` as the separator. */
 function readKnownRed(): Set<string> {
 	if (!existsSync(KNOWN_RED_FILE)) {
 		return new Set();
@@ -30,11 +29,11 @@
 
 const knownRed = readKnownRed();
 
-function findTests(folder: string): string[] {
+function findTestFiles(folder: string): string[] {
 	return readdirSync(folder, { withFileTypes: true }).flatMap(entry => {
 		const path = join(folder, entry.name);
 		if (entry.isDirectory()) {
-			return findTests(path);
+			return findTestFiles(path);
 		}
 		return entry.name.endsWith('.test.js') ? [path] : [];
 	});
@@ -44,7 +43,7 @@
 	if (files.length === 0) {
 		return;
 	}
-	const tests = run({ files: [...files], concurrency, timeout: TIMEOUT_MS });
+	const tests = run({ files: [...files], concurrency, timeout: TEST_TIMEOUT_MS });
 	tests.on('test:fail', ({ name }) => {
 		if (knownRed.has(name)) {
 			process.stdout.write(`known failure, passed over: ${name}\n`);
@@ -57,7 +56,7 @@
 	await new Promise(resolve => output.once('end', resolve));
 }
 
-const wanted = process.argv[2] ?? '';
-const isMatch = (file: string): boolean => file.includes(wanted);
-await runFiles(findTests(join(OUT_FOLDER, 'src')).filter(isMatch).sort(), UNIT_FILES_AT_ONCE);
-await runFiles(findTests(join(OUT_FOLDER, 'test')).filter(isMatch).sort(), 1);
+const pathFilter = process.argv[2] ?? '';
+const isMatch = (file: string): boolean => file.includes(pathFilter);
+await runFiles(findTestFiles(join(OUT_FOLDER, 'src')).filter(isMatch).sort(), UNIT_TEST_CONCURRENCY);
+await runFiles(findTestFiles(join(OUT_FOLDER, 'test')).filter(isMatch).sort(), 1);
