--- a/test/loads/restingTargets.test.ts
+++ b/test/loads/backoffTargets.test.ts
@@ -3,9 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * A third of the targets turn about half of their requests away for nine seconds, though they have room, and ask each instance that they
- * turn away for three seconds of rest. While nobody heard that, 915 requests reached a target during its rest in two replays with 66
- * instances, and 1.3 in 100 requests were refused; now none does, and their objects go to the next target of each.
+ * A third of the targets rejects about half of its requests although it has capacity, and requests backoff from each instance that it rejects.
+ * Guards against instances that continue to send requests during the backoff.
  */
 
 import assert from 'node:assert/strict';
@@ -15,35 +14,35 @@
 const WARM_MS = 6000;
 const SHEDDING_MS = 9000;
 const END_MS = 18000;
-const REST_MS = 3000;
+const BACKOFF_MS = 3000;
 
 function replay(seed: number): ReplayReport {
 	const model = new FleetModel({
 		seed,
 		targets: { north: 60, central: 60, south: 60 },
 		instances: 66,
-		objects: 160,
-		rate: 700,
-		comesBackMs: 300,
+		objectsPerRegion: 160,
+		requestsPerSecond: 700,
+		callerRetryMs: 300,
 		objectiveMs: 900,
-		target: { slots: 9, queueLength: 27, keptObjects: 20, firstMs: 1150, laterMs: 345 },
+		target: { slots: 9, queueLength: 27, cacheSize: 20, missMs: 1150, hitMs: 345 },
 		registrationMs: 2000
 	});
-	const setThird = (shedPart: number, restMs: number): void =>
+	const setSheddingOfThird = (shedRatio: number, backoffMs: number): void =>
 		[...model.targets.values()].forEach((target, i) => {
 			if (i % 3 === 0) {
-				Object.assign(target, { shedPart, restMs });
+				Object.assign(target, { shedRatio, backoffMs });
 			}
 		});
-	model.afterStart(WARM_MS, () => setThird(0.55, REST_MS));
-	model.afterStart(WARM_MS + SHEDDING_MS, () => setThird(0, 0));
+	model.afterStart(WARM_MS, () => setSheddingOfThird(0.55, BACKOFF_MS));
+	model.afterStart(WARM_MS + SHEDDING_MS, () => setSheddingOfThird(0, 0));
 	return model.replay(END_MS);
 }
 
-test('a third of the targets sheds and asks for rest: nothing reaches them meanwhile, and nearly all is served', () => {
+test('a third of the targets sheds load and requests backoff: nothing is rejected during the backoff, and nearly all requests are served', () => {
 	for (const seed of [1, 2]) {
 		const report = replay(seed);
-		assert.equal(report.duringRest, 0);
+		assert.equal(report.rejectedDuringBackoff, 0);
 		assert.ok(report.refused < 0.002 * report.requests, `${report.refused} of ${report.requests} refused`);
 		assert.ok(report.inTime > 0.93 * report.requests, `${report.inTime} of ${report.requests} in time`);
 	}
--- a/test/loads/fatalRequests.test.ts
+++ b/test/loads/fatalRequests.test.ts
@@ -3,64 +3,79 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * One request that ends each target that runs it comes 1.4 times a second for 16 s, and other requests lie under the ends of targets
- * that they have not caused. The first has to be bounded, whatever the number of instances, and none of the others held back.
+ * Requests that stop each target that runs them must be quarantined after a few stopped targets, whatever the number of instances. Requests
+ * that are merely running when targets stop for another reason must not be quarantined.
  */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LossModel, type LossModelSettings, type LossReport, Memory } from './lossModel.js';
+import { LossModel, type LossModelSettings, type LossReport, QuarantineKnowledge } from './lossModel.js';
 
 const SETTINGS: LossModelSettings = {
 	seed: 7,
 	instances: 9,
 	targets: 24,
 	halls: 6,
-	workMs: 480,
-	wordMs: 150,
-	memory: Memory.Shared
+	serviceTimeMs: 480,
+	propagationMs: 150,
+	knowledge: QuarantineKnowledge.Shared
 };
-const FATAL_MS = 16000;
-/** Runs of such a request that its caller's contract allows after that. */
-const MOST_TOO_LATE = 3;
+const LOAD_MS = 16000;
+/** Avoidable runs that the contract with callers tolerates. */
+const MAX_AVOIDABLE_RUNS = 3;
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
-function playFatal(instances: number, memory: Memory, perSecond: number, seed: number): LossReport {
-	const model = new LossModel({ ...SETTINGS, instances, memory, seed });
-	model.askFatal(perSecond, 0, FATAL_MS);
-	return model.playUntil(FATAL_MS + 5000);
+function runFatalRequests(
+	instances: number,
+	knowledge: QuarantineKnowledge,
+	perSecond: number,
+	seed: number
+): LossReport {
+	const model = new LossModel({ ...SETTINGS, instances, knowledge, seed });
+	model.sendFatalRequests(perSecond, 0, LOAD_MS);
+	return model.runUntil(LOAD_MS + 5000);
 }
 
-/** The most targets that ended, and the most runs that were sent too late, of all seeds. */
-function worst(instances: number, memory: Memory, perSecond: number): { ended: number; tooLate: number } {
-	const reports = SEEDS.map(seed => playFatal(instances, memory, perSecond, seed));
-	const ended = Math.max(...reports.map(({ endedUnder }) => endedUnder));
-	return { ended, tooLate: Math.max(...reports.map(({ sentTooLate }) => sentTooLate)) };
+/** The maximum numbers of stopped targets and of avoidable runs over all seeds. */
+function worstOfSeeds(
+	instances: number,
+	knowledge: QuarantineKnowledge,
+	perSecond: number
+): { stopped: number; avoidable: number } {
+	const reports = SEEDS.map(seed => runFatalRequests(instances, knowledge, perSecond, seed));
+	const stopped = Math.max(...reports.map(({ fatalStops }) => fatalStops));
+	return { stopped, avoidable: Math.max(...reports.map(({ avoidableFatalRuns }) => avoidableFatalRuns)) };
 }
 
 for (const instances of [9, 66, 182]) {
 	for (const perSecond of [1.4, 10]) {
-		test(`${instances} instances, ${perSecond} tries a second: few targets end, and none under a request that all know of`, t => {
-			const [none, own, shared] = [Memory.None, Memory.Own, Memory.Shared].map(memory =>
-				worst(instances, memory, perSecond)
-			) as [ReturnType<typeof worst>, ReturnType<typeof worst>, ReturnType<typeof worst>];
-			t.diagnostic(JSON.stringify({ none, own, shared }));
-			assert.ok(none.tooLate > MOST_TOO_LATE);
-			assert.equal(shared.tooLate, 0);
-			assert.ok(shared.ended < own.ended && own.ended <= none.ended);
+		test(`${instances} instances, ${perSecond} fatal requests per second: few targets stop, and none once all instances know of the request`, t => {
+			const [none, local, shared] = [
+				QuarantineKnowledge.None,
+				QuarantineKnowledge.Local,
+				QuarantineKnowledge.Shared
+			].map(knowledge => worstOfSeeds(instances, knowledge, perSecond)) as [
+				ReturnType<typeof worstOfSeeds>,
+				ReturnType<typeof worstOfSeeds>,
+				ReturnType<typeof worstOfSeeds>
+			];
+			t.diagnostic(JSON.stringify({ none, local, shared }));
+			assert.ok(none.avoidable > MAX_AVOIDABLE_RUNS);
+			assert.equal(shared.avoidable, 0);
+			assert.ok(shared.stopped < local.stopped && local.stopped <= none.stopped);
 		});
 	}
 }
 
-/** The paths of a popular deployment: a few of them make most of the requests. */
+/** Paths of which a few get most of the requests. */
 const PATHS = Array.from({ length: 40 }, (_, i) => `/read/${i}`);
 
-/** Plays requests of 40 paths, 300 a second, beside what a pattern loses; returns how many were refused as if they ended targets. */
-function quarantinedBeside(lose: (model: LossModel) => void, seed: number, instances: number): number {
+/** Simulates requests for all paths, 300 per second in total, while targets stop; returns the number of quarantined requests. */
+function countQuarantined(stopTargets: (model: LossModel) => void, seed: number, instances: number): number {
 	const model = new LossModel({ ...SETTINGS, seed, instances });
-	PATHS.forEach((path, i) => model.ask(path, 70 / (i + 1), 0, 12000));
-	lose(model);
-	const { quarantined, lostRuns, answered } = model.playUntil(14000);
+	PATHS.forEach((path, i) => model.sendRequests(path, 70 / (i + 1), 0, 12000));
+	stopTargets(model);
+	const { quarantined, lostRuns, answered } = model.runUntil(14000);
 	assert.ok(answered > 2000 && lostRuns > 0, `${answered} answered, ${lostRuns} runs lost`);
 	assert.deepEqual(
 		PATHS.filter(path => model.isQuarantined(path)),
@@ -69,32 +84,32 @@
 	return quarantined;
 }
 
-const THIRD = [0, 3, 6, 9, 12, 15, 18, 21];
+const THIRD_OF_TARGETS = [0, 3, 6, 9, 12, 15, 18, 21];
 
-function firstPlaces(model: LossModel): number[] {
-	return PATHS.slice(0, 5).map(path => model.firstPlaceOf(path));
+function preferredTargets(model: LossModel): number[] {
+	return PATHS.slice(0, 5).map(path => model.preferredTarget(path));
 }
 
-const PATTERNS: readonly (readonly [string, (model: LossModel) => void])[] = [
-	['a hall is lost', model => model.loseHall(1, 3000, 4000)],
+const STOP_PATTERNS: readonly (readonly [string, (model: LossModel) => void])[] = [
+	['a data hall stops', model => model.stopHall(1, 3000, 4000)],
 	[
-		'one hall is lost after the other',
-		model => [0, 1, 2, 3].forEach(hall => model.loseHall(hall, 3000 + 700 * hall, 2000))
+		'one data hall stops after the other',
+		model => [0, 1, 2, 3].forEach(hall => model.stopHall(hall, 3000 + 700 * hall, 2000))
 	],
 	[
-		'a third of the targets ends at once, twice',
-		model => [3000, 6000].forEach(at => model.loseTargets(THIRD, at, 1500))
+		'a third of the targets stops at once, twice',
+		model => [3000, 6000].forEach(at => model.stopTargets(THIRD_OF_TARGETS, at, 1500))
 	],
 	[
-		'the first targets of the most popular paths go down and up by turns',
-		model => [0, 1, 2, 3, 4, 5].forEach(turn => model.loseTargets(firstPlaces(model), 2000 + 1500 * turn, 700))
+		'the preferred targets of the most requested paths stop and restart repeatedly',
+		model => [0, 1, 2, 3, 4, 5].forEach(round => model.stopTargets(preferredTargets(model), 2000 + 1500 * round, 700))
 	]
 ];
 
-for (const [name, lose] of PATTERNS) {
-	test(`${name}: no request that did not cause it is held back`, t => {
-		const counts = SEEDS.flatMap(seed => [9, 66].map(instances => quarantinedBeside(lose, seed, instances)));
-		t.diagnostic(`refused for it, in 16 plays of 300 a second: ${counts.join(' ')}`);
+for (const [name, stopTargets] of STOP_PATTERNS) {
+	test(`${name}: no request is quarantined`, t => {
+		const counts = SEEDS.flatMap(seed => [9, 66].map(instances => countQuarantined(stopTargets, seed, instances)));
+		t.diagnostic(`quarantined requests in each run: ${counts.join(' ')}`);
 		assert.equal(Math.max(...counts), 0);
 	});
 }
--- a/test/loads/fleetModel.ts
+++ b/test/loads/fleetModel.ts
@@ -3,9 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Replays a load pattern against the choices of many entry instances. Each instance knows only what control told it and
- * what its own requests brought; targets work as `TargetModel` says. Time and chance are the replay's own, so that a
- * pattern gives the same figures each time.
+ * Deterministic simulation of many entry instances that select targets under a given load. Each instance knows only what control sent it and
+ * what it learned from its own requests. The simulation has its own clock and a seeded random number generator.
  */
 
 import TinyQueue from 'tinyqueue';
@@ -29,76 +28,76 @@
 import { RepeatRule, type Route } from '../../src/plugins/routes/common/routeTable.js';
 import type { TargetLimitTable } from '../../src/plugins/limits/common/targetLimitTable.js';
 import { describeEntry } from '../fakes/describeEntry.js';
-import { LimitedArrivals, type LimitWay, limitTableFor } from './limitModel.js';
+import { LimitedArrivals, type LimitEnforcement, createLimitTable } from './limitModel.js';
 import { TargetModel, type TargetModelSettings } from './targetModel.js';
 
 const SERVICE = 'service';
 const SYNC_MS = 500;
-const EXCHANGE_MS = 250;
-/** There and back between an instance and a target of its region. */
+const CROWDED_UPDATE_MS = 250;
+/** Round-trip time within a region; `REMOTE_ROUND_TRIP_MS` is that between regions. */
 const ROUND_TRIP_MS = 2;
-const FAR_ROUND_TRIP_MS = 70;
+const REMOTE_ROUND_TRIP_MS = 70;
 const MAX_REFUSALS = 3;
-/** From the word of an instance to its record in the log. */
-const TOLD_MS = 250;
-/** Requests to a target with a limit count from so long after it named that, and over windows of this length. */
-const CONTACT_MS = 4000;
-const WINDOW_MS = 4000;
-/** A call between instances without an answer is given up after this. */
-const LOST_CALL_MS = 150;
-/** What is on its way when a target asks for rest may still arrive for this long. */
-const ON_ITS_WAY_MS = 500;
-
-/** The size and the load of a replay. */
+/** Delay until a rate limit reported by an instance is in control's target records. */
+const LIMIT_REPORT_MS = 250;
+/** Time until all instances apply a new rate limit; earlier arrivals are not counted. */
+const LIMIT_PROPAGATION_MS = 4000;
+/** Length of the windows over which arrivals are compared with the limit. */
+const LIMIT_WINDOW_MS = 4000;
+const PEER_CALL_TIMEOUT_MS = 150;
+/** Requests that arrive within this time after a backoff request may have been sent before it was known. */
+const BACKOFF_PROPAGATION_MS = 500;
+
+/** Size, load and faults of a simulation. */
 export interface FleetModelSettings {
 	readonly seed: number;
-	/** Targets by region; instances and callers are spread evenly over the regions. */
+	/** Number of targets by region; instances and callers are distributed evenly over the regions. */
 	readonly targets: Readonly<Record<string, number>>;
 	readonly instances: number;
-	/** Objects that the callers of each region ask for, each as often as the others. */
-	readonly objects: number;
-	/** Requests a second of all callers. */
-	readonly rate: number;
-	/** How many times as much callers send, by the time since their first request; 1 where it is left out. */
-	readonly surge?: (sinceStartMs: Millis) => number;
-	/** Whether a caller that was refused comes back once, after this time; it does not where it is left out. */
-	readonly comesBackMs?: Millis;
-	/** Within this time a caller wants the answer. */
+	/** Number of objects that the callers of each region request, all with the same frequency. */
+	readonly objectsPerRegion: number;
+	/** Mean request rate of all callers together. */
+	readonly requestsPerSecond: number;
+	/** Factor on the request rate, by the time since the first request; 1 if omitted. */
+	readonly loadFactor?: (sinceStartMs: Millis) => number;
+	/** Delay after which a refused caller retries once; callers do not retry if omitted. */
+	readonly callerRetryMs?: Millis;
+	/** Latency objective of callers. */
 	readonly objectiveMs: Millis;
 	readonly target: TargetModelSettings;
-	/** Part of the requests that are about no object. */
-	readonly unboundPart?: number;
-	/** How instances keep to the limits that targets name; two senders are asked where it is left out. */
-	readonly limitWay?: LimitWay;
-	/** Part of the calls between instances that are lost. */
-	readonly lostCalls?: number;
-	/** Time between the first and the last target that registers, before the callers come; instances run from the start. */
+	/** Fraction of requests without an object key, 0 to 1; 0 if omitted. */
+	readonly keylessRatio?: number;
+	/** How instances enforce the rate limits of targets; `permits` if omitted. */
+	readonly limitEnforcement?: LimitEnforcement;
+	/** Fraction of calls between instances that get no response, 0 to 1; 0 if omitted. */
+	readonly callLossRatio?: number;
+	/** Time over which targets register before the first request; 0 if omitted. Instances run from the start. */
 	readonly registrationMs?: Millis;
 }
 
-/** What became of the requests. */
+/** Totals of a simulation. */
 export interface ReplayReport {
 	readonly requests: number;
 	readonly inTime: number;
 	readonly late: number;
 	readonly refused: number;
-	/** Requests that a target turned away. */
-	readonly turnedAway: number;
-	/** Requests that reached a target half a second and more after it had asked their instance for rest, before its end. */
-	readonly duringRest: number;
-	/** The most that reached a target with a limit in 4 s from 4 s after it named that, as times of what it allows in them. */
-	readonly mostOfLimit: number;
-	/** Part of the limits that was used in that time, on average. */
-	readonly usedOfLimit: number;
-	/** Calls for permits within limits. */
+	/** Attempts that a target rejected. */
+	readonly rejected: number;
+	/** Attempts that a target rejected while it had requested backoff from the instance, other than those sent before that was known. */
+	readonly rejectedDuringBackoff: number;
+	/** Maximum arrivals at a target with a rate limit in any 4 s, relative to what it allows; the first 4 s of each limit are not counted. */
+	readonly peakLimitUtilization: number;
+	/** Arrivals relative to the rate limit, as the mean over all limits; the first 4 s of each limit are not counted. NaN if there was no limit. */
+	readonly meanLimitUtilization: number;
+	/** Calls to other instances that requested a permit of a rate limit. */
 	readonly permitCalls: number;
-	/** Requests whose target did not have their object at hand. */
-	readonly firstTouches: number;
-	/** Objects that were asked for: no choice of targets needs fewer first touches. */
-	readonly leastFirstTouches: number;
-	/** Arrivals at the target with most of them, as times of the mean. */
-	readonly busiest: number;
-	/** Requests answered in time, by the second since the first request in which they were sent. */
+	/** Attempts started by a target that did not have their object cached. */
+	readonly cacheMisses: number;
+	/** Number of different objects requested; the minimum of `cacheMisses` if each of them is served. */
+	readonly distinctObjects: number;
+	/** Arrivals at the busiest target relative to the mean over all targets. */
+	readonly peakToMeanArrivals: number;
+	/** Requests answered within the objective, by the second in which they were first sent, counted from the start of the load. */
 	readonly inTimeBySecond: readonly number[];
 }
 
@@ -108,95 +107,90 @@
 	readonly limits: TargetLimitTable;
 	readonly view: FleetView;
 	readonly selector: TargetSelector;
-	readonly notes: OutcomeTracker;
-	readonly retries: ServiceRetryBudget;
+	readonly outcomes: OutcomeTracker;
+	readonly retryBudget: ServiceRetryBudget;
 }
 
-/** What a caller asks; it may come back with it. */
 interface CallerRequest {
 	readonly objectKey: string | undefined;
 	readonly requestId: string;
-	/** When it was sent first. */
-	readonly askedAt: Millis;
-	readonly isBack: boolean;
+	readonly firstSentAt: Millis;
+	readonly isRetry: boolean;
 }
 
-/** What goes with an answer that turns a request away. */
-interface Refusal {
-	readonly loadWord: string;
-	readonly restMs: Millis;
+interface Rejection {
+	readonly loadReport: string;
+	readonly backoffMs: Millis;
 }
 
-interface Scheduled {
+interface ScheduledEvent {
 	readonly at: Millis;
 	readonly order: number;
 	readonly run: () => void;
 }
 
-/** The fleet of a replay. */
+/** The simulated fleet. */
 export class FleetModel {
 	readonly targets = new Map<string, TargetModel>();
 	now: Millis = 1000;
 	private readonly _regions: readonly string[];
 	private readonly _records: TargetRecord[] = [];
 	private readonly _instances: Instance[];
-	private readonly _events = new TinyQueue<Scheduled>([], (a, b) => a.at - b.at || a.order - b.order);
-	private readonly _asked = new Set<string>();
+	private readonly _events = new TinyQueue<ScheduledEvent>([], (a, b) => a.at - b.at || a.order - b.order);
+	private readonly _requestedObjects = new Set<string>();
 	private readonly _counts = {
 		requests: 0,
 		inTime: 0,
 		late: 0,
 		refused: 0,
-		turnedAway: 0,
-		duringRest: 0,
+		rejected: 0,
+		rejectedDuringBackoff: 0,
 		permitCalls: 0
 	};
-	private readonly _limited = new Map<string, LimitedArrivals>();
-	private readonly _everLimited: LimitedArrivals[] = [];
+	private readonly _limitedArrivals = new Map<string, LimitedArrivals>();
+	private readonly _allLimitedArrivals: LimitedArrivals[] = [];
 	private _revision = 1;
-	/** The latest rest that a target asked of an instance. */
-	private readonly _rests = new Map<string, { readonly from: Millis; readonly to: Millis }>();
-	private readonly _needs = new RequestedWork();
-	private _crowded: readonly CrowdedTarget[] = [];
-	private _order = 0;
-	private _random: number;
-	private _isAsking = false;
+	/** The latest backoff that each target requested from each instance. */
+	private readonly _backoffs = new Map<string, { readonly from: Millis; readonly to: Millis }>();
+	private readonly _requestedWork = new RequestedWork();
+	private _crowdedTargets: readonly CrowdedTarget[] = [];
+	private _scheduledCount = 0;
+	private _randomState: number;
+	private _isSending = false;
 	private _startedAt: Millis = 0;
 	private readonly _inTimeBySecond: number[] = [];
 
 	constructor(private readonly _settings: FleetModelSettings) {
-		this._random = _settings.seed;
+		this._randomState = _settings.seed;
 		this._regions = Object.keys(_settings.targets);
-		this._instances = Array.from({ length: _settings.instances }, (_, i) => this._newInstance(i));
-		this._registerAll();
-		this._keepCrowded();
-		this._instances.forEach((instance, i) => this._keepInSync(instance, (i * SYNC_MS) / _settings.instances));
+		this._instances = Array.from({ length: _settings.instances }, (_, i) => this._createInstance(i));
+		this._scheduleRegistrations();
+		this._scheduleCrowdedUpdate();
+		this._instances.forEach((instance, i) => this._scheduleSync(instance, (i * SYNC_MS) / _settings.instances));
 	}
 
-	/** Lets callers ask for a time, and waits until all of their requests have ended. */
-	replay(spanMs: Millis): ReplayReport {
-		this._pass(this._settings.registrationMs ?? 0);
-		this._pass(2 * SYNC_MS);
-		this._isAsking = true;
+	/** Simulates load for the given time, then continues without new requests until all have completed. */
+	replay(durationMs: Millis): ReplayReport {
+		this._advance(this._settings.registrationMs ?? 0);
+		this._advance(2 * SYNC_MS);
+		this._isSending = true;
 		this._startedAt = this.now;
 		this._scheduleNextRequest();
-		this._pass(spanMs);
-		this._isAsking = false;
-		this._pass(spanMs + 20 * this._settings.target.firstMs);
+		this._advance(durationMs);
+		this._isSending = false;
+		this._advance(durationMs + 20 * this._settings.target.missMs);
 		return this._report();
 	}
 
-	/** Changes something while callers ask, this long after their first request. */
+	/** Schedules a change this long after the start of the load; to be called before `replay`. */
 	afterStart(delayMs: Millis, change: () => void): void {
-		this._at(this.now + (this._settings.registrationMs ?? 0) + 2 * SYNC_MS + delayMs, change);
+		this._schedule(this.now + (this._settings.registrationMs ?? 0) + 2 * SYNC_MS + delayMs, change);
 	}
 
-	/** Targets of a region; a test changes how they behave. */
 	targetsIn(region: string): TargetModel[] {
 		return this._records.filter(record => regionOf(record.hall) === region).map(record => this.targets.get(record.id)!);
 	}
 
-	/** Adds a target while time goes on. */
 	addTarget(region: string): void {
 		this._revision++;
 		const id = `${region}-${this._records.length}`;
@@ -216,20 +210,20 @@
 		this.targets.set(id, new TargetModel(id, this._settings.target));
 	}
 
-	/** A target names a limit from now on, or none any more. */
+	/** Sets the rate limit that a target reports; undefined for none. */
 	setLimit(target: TargetModel, perSecond: number | undefined): void {
 		target.limitPerSecond = perSecond;
-		this._limited.get(target.id)?.end(this.now);
-		this._limited.delete(target.id);
+		this._limitedArrivals.get(target.id)?.end(this.now);
+		this._limitedArrivals.delete(target.id);
 		if (perSecond !== undefined) {
-			const arrivals = new LimitedArrivals(perSecond, this.now + CONTACT_MS);
-			this._limited.set(target.id, arrivals);
-			this._everLimited.push(arrivals);
+			const arrivals = new LimitedArrivals(perSecond, this.now + LIMIT_PROPAGATION_MS);
+			this._limitedArrivals.set(target.id, arrivals);
+			this._allLimitedArrivals.push(arrivals);
 		}
 	}
 
-	private _pass(spanMs: Millis): void {
-		const until = this.now + spanMs;
+	private _advance(durationMs: Millis): void {
+		const until = this.now + durationMs;
 		while (this._events.length > 0 && this._events.peek()!.at <= until) {
 			const event = this._events.pop()!;
 			this.now = Math.max(this.now, event.at);
@@ -238,81 +232,83 @@
 		this.now = until;
 	}
 
-	private _at(at: Millis, run: () => void): void {
-		this._events.push({ at, order: this._order++, run });
+	private _schedule(at: Millis, run: () => void): void {
+		this._events.push({ at, order: this._scheduledCount++, run });
 	}
 
-	/** A number in [0, 1) that depends on the seed only. */
-	private _chance(): number {
-		this._random = (Math.imul(this._random, 1664525) + 1013904223) >>> 0;
-		return this._random / 2 ** 32;
+	/** A random number in [0, 1), from a linear congruential generator with modulus 2^32. */
+	private _nextRandom(): number {
+		this._randomState = (Math.imul(this._randomState, 1664525) + 1013904223) >>> 0;
+		return this._randomState / 2 ** 32;
 	}
 
-	private _newInstance(index: number): Instance {
+	private _createInstance(index: number): Instance {
 		const region = this._regions[index % this._regions.length]!;
 		const view = new FleetView(regionOf);
 		const name = `${region}-entry-${index}`;
-		const place = { region, hall: `${region}-hall`, name };
+		const location = { region, hall: `${region}-hall`, name };
 		const shifts = { maxMovedFraction: 0.15, windowMs: 2000 };
-		const limits = limitTableFor(name, this._settings.limitWay ?? 'asked', this._settings.instances, view);
-		limits.onDidChange(() => this._tellLimits(limits));
+		const limits = createLimitTable(name, this._settings.limitEnforcement ?? 'permits', this._settings.instances, view);
+		limits.onDidChange(() => this._reportLimits(limits));
 		const share = new PaceShare(name, () => 0);
-		const selector = new TargetSelector(view, place, this._regions, shifts, share, limits);
-		const retries = new ServiceRetryBudget({ ratio: 0.2, windowMs: 10000, slack: 2 * this._settings.instances });
-		return { name, region, view, limits, selector, notes: new OutcomeTracker(), retries };
+		const selector = new TargetSelector(view, location, this._regions, shifts, share, limits);
+		const retryBudget = new ServiceRetryBudget({ ratio: 0.2, windowMs: 10000, slack: 2 * this._settings.instances });
+		return { name, region, view, limits, selector, outcomes: new OutcomeTracker(), retryBudget };
 	}
 
 	private get _entries(): EntryDescription[] {
 		return this._instances.map(({ name, region }) => describeEntry({ name, region, peerAddress: name }));
 	}
 
-	/** What an instance heard stands in the records a little later. */
-	private _tellLimits(limits: TargetLimitTable): void {
-		this._at(this.now + TOLD_MS, () => {
+	/** Schedules the update of control's target records with the limits that an instance has learned. */
+	private _reportLimits(limits: TargetLimitTable): void {
+		this._schedule(this.now + LIMIT_REPORT_MS, () => {
 			for (const { id, perSecond } of limits.untold(this.now)) {
-				const place = this._records.findIndex(record => record.id === id);
-				const { limitPerSecond, ...record } = this._records[place]!;
+				const index = this._records.findIndex(record => record.id === id);
+				const { limitPerSecond, ...record } = this._records[index]!;
 				if ((limitPerSecond ?? null) !== perSecond) {
 					const limit = perSecond === null ? {} : { limitPerSecond: perSecond };
-					this._records[place] = { ...record, ...limit, changedAt: ++this._revision };
+					this._records[index] = { ...record, ...limit, changedAt: ++this._revision };
 				}
 			}
 		});
 	}
 
-	private _registerAll(): void {
+	private _scheduleRegistrations(): void {
 		const regions = Object.entries(this._settings.targets).flatMap(([region, count]) =>
 			Array.from({ length: count }, () => region)
 		);
-		const span = this._settings.registrationMs ?? 0;
-		regions.forEach((region, i) => this._at(this.now + (span * i) / regions.length, () => this.addTarget(region)));
+		const registrationMs = this._settings.registrationMs ?? 0;
+		regions.forEach((region, i) =>
+			this._schedule(this.now + (registrationMs * i) / regions.length, () => this.addTarget(region))
+		);
 	}
 
-	private _keepInSync(instance: Instance, delayMs: Millis): void {
-		this._at(this.now + delayMs, () => {
-			const { selector, notes } = instance;
-			this._needs.addReported(
-				selector.takeRequestedWork(service => notes.serviceTimeMs(service, this.now)),
+	private _scheduleSync(instance: Instance, delayMs: Millis): void {
+		this._schedule(this.now + delayMs, () => {
+			const { selector, outcomes } = instance;
+			this._requestedWork.addReported(
+				selector.takeRequestedWork(service => outcomes.serviceTimeMs(service, this.now)),
 				this.now
 			);
-			instance.view.apply(this._responseTo(instance), this.now);
-			this._keepInSync(instance, SYNC_MS);
+			instance.view.apply(this._syncResponseFor(instance), this.now);
+			this._scheduleSync(instance, SYNC_MS);
 		});
 	}
 
-	/** What control works out of the needs, a short time after it was told. */
-	private _keepCrowded(): void {
-		this._at(this.now + EXCHANGE_MS, () => {
-			this._crowded = this._needs.findCrowded(this._records, regionOf, this.now);
-			this._keepCrowded();
+	/** Schedules control's periodic search for crowded targets. */
+	private _scheduleCrowdedUpdate(): void {
+		this._schedule(this.now + CROWDED_UPDATE_MS, () => {
+			this._crowdedTargets = this._requestedWork.findCrowded(this._records, regionOf, this.now);
+			this._scheduleCrowdedUpdate();
 		});
 	}
 
-	private _responseTo({ region, view }: Instance): SyncResponse {
+	private _syncResponseFor({ region, view }: Instance): SyncResponse {
 		const service = { name: SERVICE, healthPath: '/', maxConnections: 1000, coldStartMs: 0, coldPerSecond: 5 };
 		const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 		const table = { version: 1, routes: [], services: [service], teams: undefined, limits };
-		const need = (this._settings.rate * this._settings.target.laterMs) / 1000 / this._regions.length;
+		const demand = (this._settings.requestsPerSecond * this._settings.target.hitMs) / 1000 / this._regions.length;
 		return {
 			changes: {
 				revision: this._revision,
@@ -327,11 +323,11 @@
 			entryCount: this._instances.length,
 			regionEntries: this._instances.flatMap((other, i) => (other.region === region ? [`${region}-entry-${i}`] : [])),
 			hallPeers: [],
-			limitSenders: this._settings.limitWay === 'senders' ? [] : this._limitSenders(),
+			limitSenders: this._settings.limitEnforcement === 'senders-only' ? [] : this._limitSenders(),
 			silentTargets: [],
 			coldTargets: [],
-			crowdedTargets: this._crowded,
-			demand: { [SERVICE]: Object.fromEntries(this._regions.map(name => [name, need])) }
+			crowdedTargets: this._crowdedTargets,
+			demand: { [SERVICE]: Object.fromEntries(this._regions.map(name => [name, demand])) }
 		};
 	}
 
@@ -342,44 +338,44 @@
 	}
 
 	private _scheduleNextRequest(): void {
-		const factor = this._settings.surge?.(this.now - this._startedAt) ?? 1;
-		const gapMs = (-Math.log(1 - this._chance()) * 1000) / (this._settings.rate * factor);
-		this._at(this.now + gapMs, () => {
-			if (this._isAsking) {
-				this._ask();
+		const factor = this._settings.loadFactor?.(this.now - this._startedAt) ?? 1;
+		const gapMs = (-Math.log(1 - this._nextRandom()) * 1000) / (this._settings.requestsPerSecond * factor);
+		this._schedule(this.now + gapMs, () => {
+			if (this._isSending) {
+				this._sendNewRequest();
 				this._scheduleNextRequest();
 			}
 		});
 	}
 
-	private _ask(): void {
-		const instance = this._anyInstance();
-		const isUnbound = this._chance() < (this._settings.unboundPart ?? 0);
-		const number = Math.floor(this._chance() * this._settings.objects);
-		const objectKey = isUnbound ? undefined : `${instance.region}-${number}`;
+	private _sendNewRequest(): void {
+		const instance = this._pickInstance();
+		const isKeyless = this._nextRandom() < (this._settings.keylessRatio ?? 0);
+		const objectNumber = Math.floor(this._nextRandom() * this._settings.objectsPerRegion);
+		const objectKey = isKeyless ? undefined : `${instance.region}-${objectNumber}`;
 		this._counts.requests++;
 		if (objectKey !== undefined) {
-			this._asked.add(objectKey);
+			this._requestedObjects.add(objectKey);
 		}
 		this._send(instance, {
 			objectKey,
 			requestId: `request-${this._counts.requests}`,
-			askedAt: this.now,
-			isBack: false
+			firstSentAt: this.now,
+			isRetry: false
 		});
 	}
 
-	private _anyInstance(region?: string): Instance {
+	private _pickInstance(region?: string): Instance {
 		const instances = this._instances.filter(instance => region === undefined || instance.region === region);
-		return instances[Math.floor(this._chance() * instances.length)]!;
+		return instances[Math.floor(this._nextRandom() * instances.length)]!;
 	}
 
 	private _send(instance: Instance, request: CallerRequest): void {
-		instance.notes.recordRequest(SERVICE, this.now);
-		instance.retries.recordFirstAttempt(this.now);
+		instance.outcomes.recordRequest(SERVICE, this.now);
+		instance.retryBudget.recordFirstAttempt(this.now);
 		const { objectKey, requestId } = request;
 		const exchange = { objectKey, requestId, isDisconnected: false } as unknown as CallerExchange;
-		const journey = {
+		const context = {
 			exchange,
 			route: { ...ROUTE, objectiveMs: this._settings.objectiveMs },
 			homeRegions: [],
@@ -389,24 +385,24 @@
 			permitsDenied: 0,
 			attempts: []
 		} as unknown as RequestContext;
-		this._try(instance, journey, request);
+		this._tryTarget(instance, context, request);
 	}
 
-	/** The caller is refused; it may come back once, to any instance of its region. */
+	/** Refuses a request; its caller may retry once, at any instance of the same region. */
 	private _refuse(instance: Instance, request: CallerRequest): void {
-		const { comesBackMs } = this._settings;
-		if (comesBackMs === undefined || request.isBack) {
+		const { callerRetryMs } = this._settings;
+		if (callerRetryMs === undefined || request.isRetry) {
 			this._counts.refused++;
 			return;
 		}
-		this._at(this.now + comesBackMs, () => {
-			const other = this._anyInstance(instance.region);
-			this._send(other, { ...request, requestId: `${request.requestId}-back`, isBack: true });
+		this._schedule(this.now + callerRetryMs, () => {
+			const other = this._pickInstance(instance.region);
+			this._send(other, { ...request, requestId: `${request.requestId}-back`, isRetry: true });
 		});
 	}
 
-	private _try(instance: Instance, journey: RequestContext, request: CallerRequest): void {
-		const chosen = instance.selector.choose(journey, this.now);
+	private _tryTarget(instance: Instance, context: RequestContext, request: CallerRequest): void {
+		const chosen = instance.selector.choose(context, this.now);
 		if (!chosen) {
 			this._refuse(instance, request);
 			return;
@@ -414,151 +410,160 @@
 		const { record } = chosen.known;
 		const isLimited = instance.limits.perSecond(record, this.now) !== undefined;
 		if (!isLimited || instance.limits.takeOwn(record, this.now)) {
-			this._sendTo(instance, journey, chosen, request);
+			this._sendTo(instance, context, chosen, request);
 		} else {
-			this._askForPermit(instance, journey, chosen, request);
+			this._requestPermit(instance, context, chosen, request);
 		}
 	}
 
-	/** Asks a sender of the target for a permit; without one the request looks for another target. */
-	private _askForPermit(
+	/** Requests a permit from a sender of the target; without a permit, selects another target. */
+	private _requestPermit(
 		instance: Instance,
-		journey: RequestContext,
+		context: RequestContext,
 		chosen: ChosenTarget,
 		request: CallerRequest
 	): void {
 		const { record } = chosen.known;
-		const lender = instance.limits.lender(record, this.now);
-		const other = this._instances.find(({ name }) => name === lender?.name);
-		if (!other) {
-			journey.permitsDenied++;
-			this._try(instance, journey, request);
+		const provider = instance.limits.lender(record, this.now);
+		const peer = this._instances.find(({ name }) => name === provider?.name);
+		if (!peer) {
+			context.permitsDenied++;
+			this._tryTarget(instance, context, request);
 			return;
 		}
 		this._counts.permitCalls++;
-		const wayMs = other.region === instance.region ? ROUND_TRIP_MS : FAR_ROUND_TRIP_MS;
-		const deny = (note: () => void): void => {
-			note();
-			journey.permitsDenied++;
-			this._try(instance, journey, request);
+		const roundTripMs = peer.region === instance.region ? ROUND_TRIP_MS : REMOTE_ROUND_TRIP_MS;
+		const deny = (recordFailure: () => void): void => {
+			recordFailure();
+			context.permitsDenied++;
+			this._tryTarget(instance, context, request);
 		};
-		if (this._chance() < (this._settings.lostCalls ?? 0)) {
-			this._at(this.now + LOST_CALL_MS, () => deny(() => instance.limits.noteSilent(other.name, this.now)));
+		if (this._nextRandom() < (this._settings.callLossRatio ?? 0)) {
+			this._schedule(this.now + PEER_CALL_TIMEOUT_MS, () =>
+				deny(() => instance.limits.noteSilent(peer.name, this.now))
+			);
 			return;
 		}
-		this._at(this.now + wayMs / 2, () => {
-			const { isGranted, waitMs } = other.limits.lend({ targetId: record.id, bornAt: record.bornAt }, this.now);
-			this._at(this.now + wayMs / 2, () => {
+		this._schedule(this.now + roundTripMs / 2, () => {
+			const { isGranted, waitMs } = peer.limits.lend({ targetId: record.id, bornAt: record.bornAt }, this.now);
+			this._schedule(this.now + roundTripMs / 2, () => {
 				if (isGranted) {
-					this._sendTo(instance, journey, chosen, request);
+					this._sendTo(instance, context, chosen, request);
 				} else {
-					deny(() => instance.limits.noteDenied(record, other.name, waitMs, this.now));
+					deny(() => instance.limits.noteDenied(record, peer.name, waitMs, this.now));
 				}
 			});
 		});
 	}
 
-	private _sendTo(instance: Instance, journey: RequestContext, chosen: ChosenTarget, request: CallerRequest): void {
+	private _sendTo(instance: Instance, context: RequestContext, chosen: ChosenTarget, request: CallerRequest): void {
 		const { known, state } = chosen;
-		journey.tried.add(known.record.id);
-		journey.attempts.push({ target: known.record.id } as AttemptTrace);
+		context.tried.add(known.record.id);
+		context.attempts.push({ target: known.record.id } as AttemptTrace);
 		state.inFlight++;
 		state.isUsed = true;
-		const wayMs = known.region === instance.region ? ROUND_TRIP_MS : FAR_ROUND_TRIP_MS;
-		this._at(this.now + wayMs / 2, () => this._arrive(instance, journey, chosen, request, wayMs));
+		const roundTripMs = known.region === instance.region ? ROUND_TRIP_MS : REMOTE_ROUND_TRIP_MS;
+		this._schedule(this.now + roundTripMs / 2, () =>
+			this._handleArrival(instance, context, chosen, request, roundTripMs)
+		);
 	}
 
-	private _arrive(
+	private _handleArrival(
 		instance: Instance,
-		journey: RequestContext,
+		context: RequestContext,
 		chosen: ChosenTarget,
 		request: CallerRequest,
-		wayMs: Millis
+		roundTripMs: Millis
 	): void {
 		const target = this.targets.get(chosen.known.record.id)!;
-		const sentAt = this.now - wayMs / 2;
-		this._limited.get(target.id)?.note(this.now);
-		const hear = (limit: number | undefined): void => this._hearLimit(instance, chosen, limit, sentAt);
-		const object = journey.exchange.objectKey ?? journey.exchange.requestId;
-		const isTaken = target.offer(object, this._chance(), this.now, endsAt =>
-			this._at(endsAt, () => {
+		const sentAt = this.now - roundTripMs / 2;
+		this._limitedArrivals.get(target.id)?.record(this.now);
+		const applyLimit = (limit: number | undefined): void => this._applyLimit(instance, chosen, limit, sentAt);
+		const object = context.exchange.objectKey ?? context.exchange.requestId;
+		const isAccepted = target.offer(object, this._nextRandom(), this.now, endsAt =>
+			this._schedule(endsAt, () => {
 				target.release(this.now);
-				const { loadWord, limitPerSecond } = target;
-				this._at(endsAt + wayMs / 2, () => {
-					hear(limitPerSecond);
-					this._answer(instance, journey, chosen, sentAt, request, loadWord);
+				const { loadReport, limitPerSecond } = target;
+				this._schedule(endsAt + roundTripMs / 2, () => {
+					applyLimit(limitPerSecond);
+					this._handleResponse(instance, context, chosen, sentAt, request, loadReport);
 				});
 			})
 		);
-		if (!isTaken) {
-			this._counts.turnedAway++;
-			const { loadWord, restMs } = target;
-			this._noteRest(instance, target, restMs);
+		if (!isAccepted) {
+			this._counts.rejected++;
+			const { loadReport, backoffMs } = target;
+			this._recordBackoff(instance, target, backoffMs);
 			const { limitPerSecond } = target;
-			this._at(this.now + wayMs / 2, () => {
-				hear(limitPerSecond);
-				this._turnAway(instance, journey, chosen, request, { loadWord, restMs });
+			this._schedule(this.now + roundTripMs / 2, () => {
+				applyLimit(limitPerSecond);
+				this._handleRejection(instance, context, chosen, request, { loadReport, backoffMs });
 			});
 		}
 	}
 
-	private _hearLimit(instance: Instance, { known }: ChosenTarget, limit: number | undefined, askedAt: Millis): void {
-		if (this._settings.limitWay !== 'unheard') {
-			instance.limits.hear(known.record, { perSecond: limit, askedAt }, this.now);
+	private _applyLimit(
+		instance: Instance,
+		{ known }: ChosenTarget,
+		limit: number | undefined,
+		requestSentAt: Millis
+	): void {
+		if (this._settings.limitEnforcement !== 'ignored') {
+			instance.limits.hear(known.record, { perSecond: limit, askedAt: requestSentAt }, this.now);
 		}
 	}
 
-	/** Counts what reaches a target that wants nothing from an instance, but for what may be on its way. */
-	private _noteRest(instance: Instance, target: TargetModel, restMs: Millis): void {
+	/** Counts a rejected attempt if it arrived during an earlier backoff, and records a new backoff if the target requests one. */
+	private _recordBackoff(instance: Instance, target: TargetModel, backoffMs: Millis): void {
 		const key = `${this._instances.indexOf(instance)} ${target.id}`;
-		const asked = this._rests.get(key);
-		if (asked && this.now > asked.from + ON_ITS_WAY_MS && this.now < asked.to) {
-			this._counts.duringRest++;
+		const backoff = this._backoffs.get(key);
+		if (backoff && this.now > backoff.from + BACKOFF_PROPAGATION_MS && this.now < backoff.to) {
+			this._counts.rejectedDuringBackoff++;
 		}
-		if (restMs > 0 && this.now >= (asked?.to ?? 0)) {
-			this._rests.set(key, { from: this.now, to: this.now + restMs });
+		if (backoffMs > 0 && this.now >= (backoff?.to ?? 0)) {
+			this._backoffs.set(key, { from: this.now, to: this.now + backoffMs });
 		}
 	}
 
-	private _answer(
+	private _handleResponse(
 		instance: Instance,
-		journey: RequestContext,
+		context: RequestContext,
 		{ state }: ChosenTarget,
 		sentAt: Millis,
 		request: CallerRequest,
-		loadWord: string
+		loadReport: string
 	): void {
-		const isInTime = this.now - request.askedAt <= this._settings.objectiveMs;
+		const isInTime = this.now - request.firstSentAt <= this._settings.objectiveMs;
 		this._counts[isInTime ? 'inTime' : 'late']++;
 		if (isInTime) {
-			const second = Math.floor((request.askedAt - this._startedAt) / 1000);
+			const second = Math.floor((request.firstSentAt - this._startedAt) / 1000);
 			this._inTimeBySecond[second] = (this._inTimeBySecond[second] ?? 0) + 1;
 		}
-		instance.notes.recordLoad(state, parseLoadReport(loadWord), this.now);
-		const answer = { type: 'answer', status: 200, rawHeaders: [], endsWithConnection: false } as never;
-		instance.notes.recordOutcome(journey, state, answer, this.now - sentAt, this.now);
+		instance.outcomes.recordLoad(state, parseLoadReport(loadReport), this.now);
+		const response = { type: 'answer', status: 200, rawHeaders: [], endsWithConnection: false } as never;
+		instance.outcomes.recordOutcome(context, state, response, this.now - sentAt, this.now);
 		state.inFlight--;
 	}
 
-	private _turnAway(
+	private _handleRejection(
 		instance: Instance,
-		journey: RequestContext,
+		context: RequestContext,
 		{ known, state }: ChosenTarget,
 		request: CallerRequest,
-		{ loadWord, restMs }: Refusal
+		{ loadReport, backoffMs }: Rejection
 	): void {
-		const cause = refusalCause(parseLoadReport(loadWord));
+		const cause = refusalCause(parseLoadReport(loadReport));
 		const outcome = { type: 'not-run', hasArrived: true, cause } as const;
-		instance.notes.recordLoad(state, parseLoadReport(loadWord), this.now);
-		instance.notes.recordOutcome(journey, state, outcome, 0, this.now);
-		state.backoff.apply({ backoffMs: restMs, isLeaving: false }, this.now);
+		instance.outcomes.recordLoad(state, parseLoadReport(loadReport), this.now);
+		instance.outcomes.recordOutcome(context, state, outcome, 0, this.now);
+		state.backoff.apply({ backoffMs, isLeaving: false }, this.now);
 		state.inFlight--;
-		journey.refusals++;
-		if (mayRetrySameTarget(cause, known.record.id, journey.attempts)) {
-			journey.tried.delete(known.record.id);
+		context.refusals++;
+		if (mayRetrySameTarget(cause, known.record.id, context.attempts)) {
+			context.tried.delete(known.record.id);
 		}
-		if (journey.refusals < MAX_REFUSALS && instance.retries.tryTake(this._instances.length, this.now)) {
-			this._try(instance, journey, request);
+		if (context.refusals < MAX_REFUSALS && instance.retryBudget.tryTake(this._instances.length, this.now)) {
+			this._tryTarget(instance, context, request);
 		} else {
 			this._refuse(instance, request);
 		}
@@ -570,12 +575,17 @@
 		const total = arrivals.reduce((sum, count) => sum + count, 0);
 		return {
 			...this._counts,
-			mostOfLimit: Math.max(0, ...this._everLimited.map(limited => limited.mostInWindow(WINDOW_MS))),
-			usedOfLimit: this._everLimited.reduce((sum, { usedPart }) => sum + usedPart, 0) / this._everLimited.length,
-			firstTouches: targets.reduce((sum, target) => sum + target.firstTouches, 0),
-			leastFirstTouches: this._asked.size,
+			peakLimitUtilization: Math.max(
+				0,
+				...this._allLimitedArrivals.map(arrivals => arrivals.peakUtilization(LIMIT_WINDOW_MS))
+			),
+			meanLimitUtilization:
+				this._allLimitedArrivals.reduce((sum, { utilization }) => sum + utilization, 0) /
+				this._allLimitedArrivals.length,
+			cacheMisses: targets.reduce((sum, target) => sum + target.cacheMisses, 0),
+			distinctObjects: this._requestedObjects.size,
 			inTimeBySecond: Array.from(this._inTimeBySecond, count => count ?? 0),
-			busiest: (Math.max(...arrivals) * targets.length) / total
+			peakToMeanArrivals: (Math.max(...arrivals) * targets.length) / total
 		};
 	}
 }
--- a/test/loads/limitModel.ts
+++ b/test/loads/limitModel.ts
@@ -2,94 +2,98 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/**
- * Limits of targets in a load replay: how instances keep to them, and what the targets see of it. The sum is counted where it arrives, over all
- * instances.
- */
+/** Rate limits of targets in a simulation: how entry instances enforce them, and how much of a limit was used by all instances together. */
 
 import type { Millis } from '../../src/base/clock.js';
 import type { FleetView } from '../../src/plugins/fleet/common/fleetView.js';
 import { PaceShare } from '../../src/plugins/fleet/common/paceShare.js';
 import { TargetLimitTable } from '../../src/plugins/limits/common/targetLimitTable.js';
 
-/** How instances keep to the limits that targets name. */
-export type LimitWay =
-	/** Nobody hears them. */
-	| 'unheard'
-	/** Each instance keeps to the whole limit by itself. */
-	| 'each'
-	/** Each instance keeps to an equal part. */
-	| 'parts'
-	/** Two senders hold equal parts, and the others leave the target out. */
-	| 'senders'
-	/** Two senders hold equal parts, and the others ask them for permits. */
-	| 'asked';
+/** How entry instances enforce the rate limits that targets report. */
+export type LimitEnforcement =
+	/** Not at all: reported limits are ignored. */
+	| 'ignored'
+	/** Each instance applies the whole limit to its own requests. */
+	| 'full-limit'
+	/** Each instance applies an equal share of the limit. */
+	| 'equal-shares'
+	/** Two senders apply half of the limit each; other instances do not use the target. */
+	| 'senders-only'
+	/** Two senders apply half of the limit each; other instances request permits from them. */
+	| 'permits';
 
-/** The part of targets' limits that an instance holds, by the way that is weighed. */
-class WeighedShare extends PaceShare {
+/** The share of a target's rate limit that an instance holds under the simulated enforcement. */
+class EnforcedPaceShare extends PaceShare {
 	constructor(
 		name: string,
-		private readonly _way: LimitWay,
-		private readonly _instances: number
+		private readonly _enforcement: LimitEnforcement,
+		private readonly _instanceCount: number
 	) {
 		super(name, () => 0);
 	}
 
 	override fractionFor(record: Parameters<PaceShare['fractionFor']>[0]): number {
-		switch (this._way) {
-			case 'each':
+		switch (this._enforcement) {
+			case 'full-limit':
 				return 1;
-			case 'parts':
-				return 1 / this._instances;
+			case 'equal-shares':
+				return 1 / this._instanceCount;
 			default:
 				return super.fractionFor(record);
 		}
 	}
 }
 
-/** The limits that one instance knows, kept in one of the ways. */
-export function limitTableFor(name: string, way: LimitWay, instances: number, view: FleetView): TargetLimitTable {
-	return new TargetLimitTable(view, new WeighedShare(name, way, instances));
+/** Creates the limit table of one entry instance. */
+export function createLimitTable(
+	name: string,
+	enforcement: LimitEnforcement,
+	instanceCount: number,
+	view: FleetView
+): TargetLimitTable {
+	return new TargetLimitTable(view, new EnforcedPaceShare(name, enforcement, instanceCount));
 }
 
-/** Arrivals at one target while it names a limit. */
+/** Counts the requests that reach one target while it reports a rate limit. */
 export class LimitedArrivals {
 	private readonly _arrivals: Millis[] = [];
 	private _endedAt: Millis = Number.POSITIVE_INFINITY;
 
-	/** @param _from when what arrives begins to count */
+	/**
+	 * @param perSecond the rate limit
+	 * @param _countedFrom earlier arrivals are not counted
+	 */
 	constructor(
 		readonly perSecond: number,
-		private readonly _from: Millis
+		private readonly _countedFrom: Millis
 	) {}
 
-	/** A request reached the target. */
-	note(now: Millis): void {
-		if (now >= this._from && now < this._endedAt) {
+	record(now: Millis): void {
+		if (now >= this._countedFrom && now < this._endedAt) {
 			this._arrivals.push(now);
 		}
 	}
 
-	/** The target names no limit any more. */
+	/** Stops counting: the target no longer reports the limit. */
 	end(now: Millis): void {
 		this._endedAt = now;
 	}
 
-	/** The most that arrived in a window, as times of what the limit allows in it. */
-	mostInWindow(windowMs: Millis): number {
-		let most = 0;
-		let begin = 0;
+	/** The maximum number of arrivals within any window of this length, relative to the number that the limit allows in it. */
+	peakUtilization(windowMs: Millis): number {
+		let maxCount = 0;
+		let start = 0;
 		this._arrivals.forEach((at, end) => {
-			while (this._arrivals[begin]! <= at - windowMs) {
-				begin++;
+			while (this._arrivals[start]! <= at - windowMs) {
+				start++;
 			}
-			most = Math.max(most, end - begin + 1);
+			maxCount = Math.max(maxCount, end - start + 1);
 		});
-		return (most * 1000) / (this.perSecond * windowMs);
+		return (maxCount * 1000) / (this.perSecond * windowMs);
 	}
 
-	/** Part of the limit that was used. */
-	get usedPart(): number {
-		return (this._arrivals.length * 1000) / (this.perSecond * (this._endedAt - this._from));
+	/** Arrivals relative to the number that the limit allowed, over the whole time; meaningful once `end` was called. */
+	get utilization(): number {
+		return (this._arrivals.length * 1000) / (this.perSecond * (this._endedAt - this._countedFrom));
 	}
 }
--- a/test/loads/lossModel.ts
+++ b/test/loads/lossModel.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Replays the ends of targets against the quarantine of many entry instances. Each one knows what control counted some time ago, and
- * what it saw itself. Time and chance are the replay's own, so that a pattern gives the same figures each time.
+ * Deterministic simulation of targets that stop while running requests, and of the quarantine of such requests at many entry instances. It
+ * has its own clock and a seeded random number generator.
  */
 
 import TinyQueue from 'tinyqueue';
@@ -25,107 +25,116 @@
 import type { LostRunDetector } from '../../src/plugins/forwarding/node/lostRunDetector.js';
 import { QuarantineGuard } from '../../src/plugins/forwarding/node/quarantineGuard.js';
 
-/** What instances go by. */
-export enum Memory {
-	/** Nothing, as it was. */
+/** Which lost runs entry instances base the quarantine on. */
+export enum QuarantineKnowledge {
+	/** None: no request is refused because of the quarantine. */
 	None = 'none',
-	/** What each of them saw itself. */
-	Own = 'own',
-	/** What control counted over all of them, and what each saw itself. */
+	/** Those that the instance observed itself. */
+	Local = 'local',
+	/** Those that control counted over all instances, and those that the instance observed itself. */
 	Shared = 'shared'
 }
 
-/** The size of a replay. */
+/** Size and delays of a simulation. */
 export interface LossModelSettings {
 	readonly seed: number;
 	readonly instances: number;
 	readonly targets: number;
 	readonly halls: number;
-	/** From the start of a run to its answer. */
-	readonly workMs: Millis;
-	/** From a word of an instance until control has counted it, and from there until all instances know. */
-	readonly wordMs: Millis;
-	readonly memory: Memory;
+	/** Service time of requests that do not stop their target. */
+	readonly serviceTimeMs: Millis;
+	/** Mean delay from an instance's report to its processing by control; also the delay from there until all instances know the result. */
+	readonly propagationMs: Millis;
+	readonly knowledge: QuarantineKnowledge;
 }
 
-/** What became of the requests. */
+/** Totals since the start of a simulation. */
 export interface LossReport {
 	readonly answered: number;
+	/** Requests without a response: no retry was allowed after a lost run, or no target was left. */
 	readonly lost: number;
-	/** Runs under which targets ended. */
+	/** Runs that were lost because their target stopped. */
 	readonly lostRuns: number;
-	/** Refused since they were taken for one that ends targets. */
+	/** Requests refused because they were quarantined. */
 	readonly quarantined: number;
-	/** Targets that ended under a request that ends them. */
-	readonly endedUnder: number;
-	/** Runs of such a request that were sent when every instance could know that three targets had ended under it. */
-	readonly sentTooLate: number;
+	/** Targets stopped by fatal requests. */
+	readonly fatalStops: number;
+	/** Runs of fatal requests sent when every instance could know that enough targets had stopped to quarantine them. */
+	readonly avoidableFatalRuns: number;
 }
 
 interface Target {
-	readonly place: number;
+	readonly index: number;
 	readonly hall: number;
 	id: string;
 	isUp: boolean;
-	/** Calls back when it ends. */
-	readonly running: Set<() => void>;
+	/** One for each running request; called when the target stops. */
+	readonly lossHandlers: Set<() => void>;
 }
 
 interface Instance {
-	readonly known: QuarantineView;
+	readonly quarantineView: QuarantineView;
 	readonly guard: QuarantineGuard;
 	readonly onDidLose: Emitter<ObservedLostRun>;
 }
 
-interface Scheduled {
+interface ScheduledEvent {
 	readonly at: Millis;
 	readonly order: number;
 	readonly run: () => void;
 }
 
 const FATAL_PATH = '/fatal';
-/** Time in which a target that a request ends runs it. */
-const FATAL_MS = 60;
-/** Time from the end of such a target to its return. */
-const FATAL_AWAY_MS = 1200;
-const MOST_ATTEMPTS = 2;
-const ENDS_THAT_TELL = 3;
-/** Within this time all instances know what one of them saw. */
-const CONTACT_MS = 4000;
-
-/** The fleet of a replay. */
+/** Time from the start of a fatal request until its target stops. */
+const FATAL_RUN_MS = 60;
+/** Time until a target stopped by a fatal request runs again. */
+const FATAL_RESTART_MS = 1200;
+const MAX_ATTEMPTS = 2;
+const STOPS_TO_QUARANTINE = 3;
+/** Upper bound of the time until all instances know what one of them has observed. */
+const MAX_PROPAGATION_MS = 4000;
+
+/** The simulated fleet. */
 export class LossModel {
 	now: Millis = 0;
 	private readonly _targets: Target[];
 	private readonly _instances: Instance[];
-	private readonly _state = new QuarantineState();
-	private readonly _order = new IndependentLossFilter();
-	private readonly _events = new TinyQueue<Scheduled>([], (a, b) => a.at - b.at || a.order - b.order);
-	private readonly _counts = { answered: 0, lost: 0, lostRuns: 0, quarantined: 0, endedUnder: 0, sentTooLate: 0 };
-	/** When targets ended under the request that ends them. */
-	private readonly _fatalEnds: Millis[] = [];
-	private _random: number;
-	private _scheduled = 0;
-	private _tries = 0;
-	private _lives = 0;
+	private readonly _controlState = new QuarantineState();
+	private readonly _independentLosses = new IndependentLossFilter();
+	private readonly _events = new TinyQueue<ScheduledEvent>([], (a, b) => a.at - b.at || a.order - b.order);
+	private readonly _counts = {
+		answered: 0,
+		lost: 0,
+		lostRuns: 0,
+		quarantined: 0,
+		fatalStops: 0,
+		avoidableFatalRuns: 0
+	};
+	private readonly _fatalStopTimes: Millis[] = [];
+	private _randomState: number;
+	private _scheduledCount = 0;
+	private _requestCount = 0;
+	private _incarnationCount = 0;
 
 	constructor(private readonly _settings: LossModelSettings) {
-		this._random = _settings.seed;
-		this._targets = Array.from({ length: _settings.targets }, (_, place) => ({
-			place,
-			hall: place % _settings.halls,
-			id: `t-${place}-${++this._lives}`,
+		this._randomState = _settings.seed;
+		this._targets = Array.from({ length: _settings.targets }, (_, index) => ({
+			index,
+			hall: index % _settings.halls,
+			id: `t-${index}-${++this._incarnationCount}`,
 			isUp: true,
-			running: new Set()
+			lossHandlers: new Set()
 		}));
-		this._instances = Array.from({ length: _settings.instances }, () => this._newInstance());
-		this._state.onDidChange(known =>
-			this._at(_settings.wordMs, () => this._instances.forEach(instance => instance.known.apply(known)))
+		this._instances = Array.from({ length: _settings.instances }, () => this._createInstance());
+		this._controlState.onDidChange(snapshot =>
+			this._scheduleIn(_settings.propagationMs, () =>
+				this._instances.forEach(instance => instance.quarantineView.apply(snapshot))
+			)
 		);
 	}
 
-	/** Plays until a time. */
-	playUntil(at: Millis): LossReport {
+	/** Runs the simulation until the given time, and returns the totals since its start. */
+	runUntil(at: Millis): LossReport {
 		for (let next = this._events.peek(); next && next.at <= at; next = this._events.peek()) {
 			this._events.pop();
 			this.now = next.at;
@@ -135,178 +144,183 @@
 		return { ...this._counts };
 	}
 
-	/** Callers ask for a path at instances drawn by lot, `perSecond` times a second at drawn times. */
-	ask(path: string, perSecond: number, fromMs: Millis, toMs: Millis): void {
+	/** Schedules requests for a path, `perSecond` on average, at random times and to random instances. */
+	sendRequests(path: string, perSecond: number, fromMs: Millis, toMs: Millis): void {
 		for (let i = 0; i < ((toMs - fromMs) / 1000) * perSecond; i++) {
-			this._atTime(fromMs + this._draw() * (toMs - fromMs), () => this._try(path));
+			this._scheduleAt(fromMs + this._nextRandom() * (toMs - fromMs), () => this._sendRequest(path));
 		}
 	}
 
-	/** A request that ends each target that runs it comes again and again. */
-	askFatal(perSecond: number, fromMs: Millis, toMs: Millis): void {
-		this.ask(FATAL_PATH, perSecond, fromMs, toMs);
+	/** Schedules fatal requests: each of them stops the target that runs it. */
+	sendFatalRequests(perSecond: number, fromMs: Millis, toMs: Millis): void {
+		this.sendRequests(FATAL_PATH, perSecond, fromMs, toMs);
 	}
 
-	/** All targets of a hall end at once. */
-	loseHall(hall: number, atMs: Millis, awayMs: Millis): void {
-		const places = this._targets.filter(target => target.hall === hall).map(({ place }) => place);
-		this.loseTargets(places, atMs, awayMs);
+	/** Schedules a stop of all targets of a data hall. */
+	stopHall(hall: number, atMs: Millis, downMs: Millis): void {
+		const indexes = this._targets.filter(target => target.hall === hall).map(({ index }) => index);
+		this.stopTargets(indexes, atMs, downMs);
 	}
 
-	/** Some targets end at once. */
-	loseTargets(places: readonly number[], atMs: Millis, awayMs: Millis): void {
-		this._atTime(atMs, () =>
-			this._end(
-				places.map(place => this._targets[place]!),
-				awayMs
+	/** Schedules a simultaneous stop of some targets, which run again after `downMs`. */
+	stopTargets(indexes: readonly number[], atMs: Millis, downMs: Millis): void {
+		this._scheduleAt(atMs, () =>
+			this._stop(
+				indexes.map(index => this._targets[index]!),
+				downMs
 			)
 		);
 	}
 
-	/** The target that a path goes to while all are up. */
-	firstPlaceOf(path: string): number {
-		return Number(this._ranked(path)[0]);
+	/** Index of the target that gets requests for the path while all targets run. */
+	preferredTarget(path: string): number {
+		return Number(this._rankTargets(path)[0]);
 	}
 
-	/** Whether an instance would send a request nowhere now. */
+	/** Whether at least one instance currently quarantines requests for the path. */
 	isQuarantined(path: string): boolean {
-		return this._instances.some(({ guard }) => guard.phase(newJourney(path, 'look')) === QuarantinePhase.Quarantined);
+		return this._instances.some(
+			({ guard }) => guard.phase(createContext(path, 'look')) === QuarantinePhase.Quarantined
+		);
 	}
 
-	private _newInstance(): Instance {
-		const known = new QuarantineView();
+	private _createInstance(): Instance {
+		const quarantineView = new QuarantineView();
 		const onDidLose = new Emitter<ObservedLostRun>();
-		const hasControl = this._settings.memory === Memory.Shared;
+		const hasControl = this._settings.knowledge === QuarantineKnowledge.Shared;
 		const session = {
-			view: { quarantine: known },
-			reportRun: (run: ObservedLostRun) => hasControl && this._tellRun(run),
-			reportAnswer: (digest: string) => hasControl && this._tellAnswer(digest)
+			view: { quarantine: quarantineView },
+			reportRun: (run: ObservedLostRun) => hasControl && this._reportRun(run),
+			reportAnswer: (digest: string) => hasControl && this._reportAnswer(digest)
 		} as unknown as IFleetSession;
-		const watch = { onDidLose: onDidLose.event } as unknown as LostRunDetector;
-		return { known, onDidLose, guard: new QuarantineGuard(session, watch) };
+		const detector = { onDidLose: onDidLose.event } as unknown as LostRunDetector;
+		return { quarantineView, onDidLose, guard: new QuarantineGuard(session, detector) };
 	}
 
-	private _tellRun(run: ObservedLostRun): void {
-		const toldRun = toReportedRun(run, this.now);
-		this._at(this._settings.wordMs * (0.5 + this._draw()), () => {
-			if (this._order.recordIfIndependent(toldRun, this.now)) {
-				this._state.apply({ type: 'noteRuns', runs: [run] });
+	private _reportRun(run: ObservedLostRun): void {
+		const reportedRun = toReportedRun(run, this.now);
+		this._scheduleIn(this._settings.propagationMs * (0.5 + this._nextRandom()), () => {
+			if (this._independentLosses.recordIfIndependent(reportedRun, this.now)) {
+				this._controlState.apply({ type: 'noteRuns', runs: [run] });
 			}
 		});
 	}
 
-	private _tellAnswer(digest: string): void {
-		this._at(this._settings.wordMs, () => this._state.apply({ type: 'clearRequests', digests: [digest] }));
+	private _reportAnswer(digest: string): void {
+		this._scheduleIn(this._settings.propagationMs, () =>
+			this._controlState.apply({ type: 'clearRequests', digests: [digest] })
+		);
 	}
 
-	private _try(path: string): void {
-		const instance = this._instances[Math.floor(this._draw() * this._instances.length)]!;
-		this._attempt(instance, newJourney(path, `r-${++this._tries}`), 1);
+	private _sendRequest(path: string): void {
+		const instance = this._instances[Math.floor(this._nextRandom() * this._instances.length)]!;
+		this._attempt(instance, createContext(path, `r-${++this._requestCount}`), 1);
 	}
 
-	private _attempt(instance: Instance, journey: RequestContext, attempt: number): void {
+	private _attempt(instance: Instance, context: RequestContext, attempt: number): void {
 		const { guard } = instance;
-		journey.phase = this._settings.memory === Memory.None ? QuarantinePhase.Clear : guard.phase(journey);
-		if (journey.phase === QuarantinePhase.Quarantined) {
+		context.phase =
+			this._settings.knowledge === QuarantineKnowledge.None ? QuarantinePhase.Clear : guard.phase(context);
+		if (context.phase === QuarantinePhase.Quarantined) {
 			this._counts.quarantined++;
 			return;
 		}
-		const { path } = journey.exchange;
-		const place = this._ranked(path).find(each => this._targets[Number(each)]!.isUp && !journey.tried.has(each));
-		if (place === undefined) {
+		const { path } = context.exchange;
+		const index = this._rankTargets(path).find(key => this._targets[Number(key)]!.isUp && !context.tried.has(key));
+		if (index === undefined) {
 			this._counts.lost++;
 			return;
 		}
-		journey.tried.add(place);
-		this._run(instance, journey, this._targets[Number(place)]!, attempt);
+		context.tried.add(index);
+		this._run(instance, context, this._targets[Number(index)]!, attempt);
 	}
 
-	private _run(instance: Instance, journey: RequestContext, target: Target, attempt: number): void {
+	private _run(instance: Instance, context: RequestContext, target: Target, attempt: number): void {
 		const sentAt = this.now;
 		const targetId = target.id;
-		let isOver = false;
+		let isFinished = false;
 		const onLost = (): void => {
-			isOver = true;
-			this._noteLost(instance, journey, targetId, sentAt);
-			const mayRunAgain = attempt < MOST_ATTEMPTS && instance.guard.phase(journey) === QuarantinePhase.Clear;
-			if (mayRunAgain) {
-				this._attempt(instance, journey, attempt + 1);
+			isFinished = true;
+			this._recordLostRun(instance, context, targetId, sentAt);
+			const mayRetry = attempt < MAX_ATTEMPTS && instance.guard.phase(context) === QuarantinePhase.Clear;
+			if (mayRetry) {
+				this._attempt(instance, context, attempt + 1);
 			} else {
 				this._counts.lost++;
 			}
 		};
-		target.running.add(onLost);
-		if (journey.exchange.path === FATAL_PATH) {
-			const toldAt = this._fatalEnds[ENDS_THAT_TELL - 1];
-			if (toldAt !== undefined && sentAt > toldAt + CONTACT_MS) {
-				this._counts.sentTooLate++;
+		target.lossHandlers.add(onLost);
+		if (context.exchange.path === FATAL_PATH) {
+			const quarantinedAt = this._fatalStopTimes[STOPS_TO_QUARANTINE - 1];
+			if (quarantinedAt !== undefined && sentAt > quarantinedAt + MAX_PROPAGATION_MS) {
+				this._counts.avoidableFatalRuns++;
 			}
-			this._at(FATAL_MS, () => {
-				if (!isOver) {
-					this._counts.endedUnder++;
-					this._fatalEnds.push(this.now);
-					this._end([target], FATAL_AWAY_MS);
+			this._scheduleIn(FATAL_RUN_MS, () => {
+				if (!isFinished) {
+					this._counts.fatalStops++;
+					this._fatalStopTimes.push(this.now);
+					this._stop([target], FATAL_RESTART_MS);
 				}
 			});
 			return;
 		}
-		this._at(this._settings.workMs, () => {
-			if (!isOver) {
-				target.running.delete(onLost);
+		this._scheduleIn(this._settings.serviceTimeMs, () => {
+			if (!isFinished) {
+				target.lossHandlers.delete(onLost);
 				this._counts.answered++;
-				instance.guard.recordOutcome(journey, { type: 'answer', status: 200 } as never);
+				instance.guard.recordOutcome(context, { type: 'answer', status: 200 } as never);
 			}
 		});
 	}
 
-	private _noteLost({ onDidLose }: Instance, journey: RequestContext, targetId: string, sentAt: Millis): void {
-		const afterTargetId = journey.lostTargetId;
-		journey.lostTargetId = targetId;
-		journey.wasLostWithTarget = true;
+	private _recordLostRun({ onDidLose }: Instance, context: RequestContext, targetId: string, sentAt: Millis): void {
+		const afterTargetId = context.lostTargetId;
+		context.lostTargetId = targetId;
+		context.wasLostWithTarget = true;
 		this._counts.lostRuns++;
-		const wasSuspected = journey.phase !== QuarantinePhase.Clear;
-		const { requestId } = journey.exchange;
+		const wasSuspected = context.phase !== QuarantinePhase.Clear;
+		const { requestId } = context.exchange;
 		const times = { sentAt, endedAt: this.now };
-		onDidLose.fire({ ...identityOf(journey), requestId, team: '', targetId, wasSuspected, afterTargetId, ...times });
+		onDidLose.fire({ ...identityOf(context), requestId, team: '', targetId, wasSuspected, afterTargetId, ...times });
 	}
 
-	private _end(targets: readonly Target[], awayMs: Millis): void {
-		const ended = targets.filter(({ isUp }) => isUp);
-		const lost = ended.flatMap(({ running }) => [...running]);
-		ended.forEach(target => {
+	private _stop(targets: readonly Target[], downMs: Millis): void {
+		const stopped = targets.filter(({ isUp }) => isUp);
+		const onLostCallbacks = stopped.flatMap(({ lossHandlers }) => [...lossHandlers]);
+		stopped.forEach(target => {
 			target.isUp = false;
-			target.running.clear();
+			target.lossHandlers.clear();
 		});
-		lost.forEach(onLost => onLost());
-		this._at(awayMs, () => ended.forEach(target => this._comeBack(target)));
+		onLostCallbacks.forEach(onLost => onLost());
+		this._scheduleIn(downMs, () => stopped.forEach(target => this._restart(target)));
 	}
 
-	private _comeBack(target: Target): void {
+	private _restart(target: Target): void {
 		target.isUp = true;
-		target.id = `t-${target.place}-${++this._lives}`;
+		target.id = `t-${target.index}-${++this._incarnationCount}`;
 	}
 
-	private _ranked(path: string): readonly string[] {
-		const places = this._targets.map(({ place }) => String(place));
-		return rendezvousRank(path, places);
+	private _rankTargets(path: string): readonly string[] {
+		const indexes = this._targets.map(({ index }) => String(index));
+		return rendezvousRank(path, indexes);
 	}
 
-	private _at(delayMs: Millis, run: () => void): void {
-		this._atTime(this.now + delayMs, run);
+	private _scheduleIn(delayMs: Millis, run: () => void): void {
+		this._scheduleAt(this.now + delayMs, run);
 	}
 
-	private _atTime(at: Millis, run: () => void): void {
-		this._events.push({ at, order: this._scheduled++, run });
+	private _scheduleAt(at: Millis, run: () => void): void {
+		this._events.push({ at, order: this._scheduledCount++, run });
 	}
 
-	/** A number from 0 to 1 (a linear congruential generator, modulus 2^31). */
-	private _draw(): number {
-		this._random = (this._random * 1103515245 + 12345) % 2147483648;
-		return this._random / 2147483648;
+	/** A random number in [0, 1), from a linear congruential generator with modulus 2^31. */
+	private _nextRandom(): number {
+		this._randomState = (this._randomState * 1103515245 + 12345) % 2147483648;
+		return this._randomState / 2147483648;
 	}
 }
 
-function newJourney(path: string, requestId: string): RequestContext {
+function createContext(path: string, requestId: string): RequestContext {
 	const exchange = { request: { method: 'GET', headers: {} }, host: 'shop.example', path, requestId };
 	const body = { prefix: Buffer.alloc(0), bufferedLength: 0 };
 	return { exchange, body, tried: new Set(), phase: QuarantinePhase.Clear, attempts: [] } as unknown as RequestContext;
--- a/test/loads/sheddingTargets.test.ts
+++ b/test/loads/sheddingTargets.test.ts
@@ -3,37 +3,37 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * All targets of a service turn about half of their requests away for seconds, though they have room and say so. Retries are
- * bounded, so they have to go where they bring an answer in time: to the target that has the object at hand.
+ * All targets of a service reject about half of their requests although they have capacity and report it. Guards against retries, which are
+ * bounded, being spent on targets that do not have the object cached.
  */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FleetModel, type FleetModelSettings, type ReplayReport } from './fleetModel.js';
 
-const TARGET = { slots: 9, queueLength: 27, keptObjects: 11, firstMs: 3040, laterMs: 912 };
+const TARGET = { slots: 9, queueLength: 27, cacheSize: 11, missMs: 3040, hitMs: 912 };
 const FLEET: FleetModelSettings = {
 	seed: 11,
 	targets: { north: 60, south: 60 },
 	instances: 40,
-	objects: 80,
-	rate: 250,
+	objectsPerRegion: 80,
+	requestsPerSecond: 250,
 	objectiveMs: 2000,
 	target: TARGET
 };
 const WARM_MS = 6000;
 const SHEDDING_MS = 8000;
 
-function replay(shedPart: number): ReplayReport {
+function replay(shedRatio: number): ReplayReport {
 	const model = new FleetModel(FLEET);
-	model.afterStart(WARM_MS, () => model.targets.forEach(target => (target.shedPart = shedPart)));
+	model.afterStart(WARM_MS, () => model.targets.forEach(target => (target.shedRatio = shedRatio)));
 	return model.replay(WARM_MS + SHEDDING_MS);
 }
 
-test('half of the requests are turned away by targets with room: few more first touches, most answers in time', () => {
-	const [calm, shedding] = [replay(0), replay(0.55)];
-	const added = shedding.firstTouches - calm.firstTouches;
-	assert.ok(added < 0.4 * calm.firstTouches, `${added} first touches more than ${calm.firstTouches}`);
-	const late = shedding.late - calm.late;
-	assert.ok(late < 0.06 * shedding.requests, `${late} late more, of ${shedding.requests}`);
+test('targets with capacity reject half of the requests: few additional cache misses and late responses', () => {
+	const [normal, shedding] = [replay(0), replay(0.55)];
+	const addedMisses = shedding.cacheMisses - normal.cacheMisses;
+	assert.ok(addedMisses < 0.4 * normal.cacheMisses, `${addedMisses} cache misses more than ${normal.cacheMisses}`);
+	const addedLate = shedding.late - normal.late;
+	assert.ok(addedLate < 0.06 * shedding.requests, `${addedLate} more late responses, of ${shedding.requests} requests`);
 });
--- a/test/loads/targetModel.ts
+++ b/test/loads/targetModel.ts
@@ -2,43 +2,42 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A target of the load replays: slots, a queue, and objects that it has seen lately. */
+/** A simulated target with a limited number of slots, a queue, and an LRU cache of objects. */
 
 import type { Millis } from '../../src/base/clock.js';
 
-/** How the targets of a replay work. */
+/** Capacity and service times of a target. */
 export interface TargetModelSettings {
 	readonly slots: number;
-	/** Requests that may wait beyond the slots; one more is turned away. */
+	/** Maximum number of queued requests; further ones are rejected. */
 	readonly queueLength: number;
-	/** Objects that a target keeps at hand; the one that was asked for longest ago goes first. */
-	readonly keptObjects: number;
-	/** Work of a request whose object is not at hand. */
-	readonly firstMs: Millis;
-	/** Work of a request whose object is at hand. */
-	readonly laterMs: Millis;
+	/** Maximum number of cached objects; the least recently used one is evicted first. */
+	readonly cacheSize: number;
+	/** Service time of a request whose object is not cached. */
+	readonly missMs: Millis;
+	/** Service time of a request whose object is cached. */
+	readonly hitMs: Millis;
 }
 
-/** A request that runs or waits at a target. */
-interface TargetWork {
+interface QueuedRequest {
 	readonly object: string;
-	readonly done: (endsAt: Millis) => void;
+	readonly onStarted: (endsAt: Millis) => void;
 }
 
-/** One target; pure, it is told the time. */
+/** One target. Holds no timers: callers pass the current time and call `release` when a request has completed. */
 export class TargetModel {
-	/** Requests that reached the target, those that it turned away included. */
+	/** Requests that reached the target, including rejected ones. */
 	arrivals = 0;
-	/** Requests whose object was not at hand. */
-	firstTouches = 0;
-	/** Part of the requests that it turns away though it has room, 0 to 1. */
-	shedPart = 0;
-	/** Requests a second that it takes from all instances together; undefined where it names no limit. */
+	/** Requests that were started while their object was not cached. */
+	cacheMisses = 0;
+	/** Fraction of requests that are rejected although the target has capacity, 0 to 1. */
+	shedRatio = 0;
+	/** Rate limit for all instances together, in requests per second; undefined if the target reports none. */
 	limitPerSecond: number | undefined;
-	/** How long it asks to be left alone when it turns a request away; 0 for not at all. */
-	restMs: Millis = 0;
-	private readonly _waiting: TargetWork[] = [];
-	private readonly _atHand = new Map<string, true>();
+	/** Backoff that the target requests when it rejects a request; 0 for none. */
+	backoffMs: Millis = 0;
+	private readonly _queue: QueuedRequest[] = [];
+	private readonly _cache = new Map<string, true>();
 	private _running = 0;
 
 	constructor(
@@ -46,28 +45,28 @@
 		private readonly _settings: TargetModelSettings
 	) {}
 
-	/** The load word that goes with an answer: running, waiting, slots. */
-	get loadWord(): string {
-		return `${this._running},${this._waiting.length},${this._settings.slots}`;
+	/** Load report sent with each response: running requests, queued requests and slots, separated by commas. */
+	get loadReport(): string {
+		return `${this._running},${this._queue.length},${this._settings.slots}`;
 	}
 
 	/**
-	 * Takes a request in.
-	 * @param chance a number in [0, 1) that decides whether it is shed
-	 * @param done is told when the request will have ended, as soon as it runs
-	 * @returns false where it is turned away
+	 * Queues a request, or starts it if a slot is free.
+	 * @param randomValue a number in [0, 1); the request is shed if it is below `shedRatio`
+	 * @param onStarted called when the request starts, with the time when it will complete
+	 * @returns false if the request is rejected
 	 */
-	offer(object: string, chance: number, now: Millis, done: (endsAt: Millis) => void): boolean {
+	offer(object: string, randomValue: number, now: Millis, onStarted: (endsAt: Millis) => void): boolean {
 		this.arrivals++;
-		if (chance < this.shedPart || this._waiting.length >= this._settings.queueLength) {
+		if (randomValue < this.shedRatio || this._queue.length >= this._settings.queueLength) {
 			return false;
 		}
-		this._waiting.push({ object, done });
+		this._queue.push({ object, onStarted });
 		this._startNext(now);
 		return true;
 	}
 
-	/** A request has ended. */
+	/** Frees the slot of a completed request. */
 	release(now: Millis): void {
 		this._running--;
 		this._startNext(now);
@@ -77,24 +76,24 @@
 		if (this._running >= this._settings.slots) {
 			return;
 		}
-		const work = this._waiting.shift();
-		if (work) {
+		const next = this._queue.shift();
+		if (next) {
 			this._running++;
-			work.done(now + this._workMs(work.object));
+			next.onStarted(now + this._serviceTimeMs(next.object));
 		}
 	}
 
-	private _workMs(object: string): Millis {
-		const { firstMs, laterMs, keptObjects } = this._settings;
-		const isAtHand = this._atHand.delete(object);
-		this._atHand.set(object, true);
-		if (isAtHand) {
-			return laterMs;
+	private _serviceTimeMs(object: string): Millis {
+		const { missMs, hitMs, cacheSize } = this._settings;
+		const isHit = this._cache.delete(object);
+		this._cache.set(object, true);
+		if (isHit) {
+			return hitMs;
 		}
-		this.firstTouches++;
-		if (this._atHand.size > keptObjects) {
-			this._atHand.delete(this._atHand.keys().next().value!);
+		this.cacheMisses++;
+		if (this._cache.size > cacheSize) {
+			this._cache.delete(this._cache.keys().next().value!);
 		}
-		return firstMs;
+		return missMs;
 	}
 }
