--- a/test/loads/backoffTargets.test.ts
+++ b/test/loads/backoffTargets.test.ts
@@ -9,14 +9,14 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetModel, type ReplayReport } from './fleetModel.js';
+import { FleetModel, type SimulationReport } from './fleetModel.js';
 
 const WARM_MS = 6000;
 const SHEDDING_MS = 9000;
 const END_MS = 18000;
 const BACKOFF_MS = 3000;
 
-function replay(seed: number): ReplayReport {
+function simulate(seed: number): SimulationReport {
 	const model = new FleetModel({
 		seed,
 		targets: { north: 60, central: 60, south: 60 },
@@ -36,12 +36,12 @@
 		});
 	model.afterStart(WARM_MS, () => setSheddingOfThird(0.55, BACKOFF_MS));
 	model.afterStart(WARM_MS + SHEDDING_MS, () => setSheddingOfThird(0, 0));
-	return model.replay(END_MS);
+	return model.simulate(END_MS);
 }
 
 test('a third of the targets sheds load and requests backoff: nothing is rejected during the backoff, and nearly all requests are served', () => {
 	for (const seed of [1, 2]) {
-		const report = replay(seed);
+		const report = simulate(seed);
 		assert.equal(report.rejectedDuringBackoff, 0);
 		assert.ok(report.refused < 0.002 * report.requests, `${report.refused} of ${report.requests} refused`);
 		assert.ok(report.inTime > 0.93 * report.requests, `${report.inTime} of ${report.requests} in time`);
--- a/test/loads/coldStart.test.ts
+++ b/test/loads/coldStart.test.ts
@@ -24,7 +24,7 @@
 };
 
 test('targets that registered before the first request are not treated as new: hardly more than one cache miss per object', () => {
-	const report = new FleetModel(FLEET).replay(4000);
+	const report = new FleetModel(FLEET).simulate(4000);
 	assert.equal(report.inTime + report.late + report.refused, report.requests);
 	const missesPerObject = report.cacheMisses / report.distinctObjects;
 	assert.ok(missesPerObject < 1.15, `${report.cacheMisses} cache misses for ${report.distinctObjects} objects`);
@@ -32,7 +32,7 @@
 });
 
 test('requests without an object key are distributed over all targets before their load is known', () => {
-	const report = new FleetModel({ ...FLEET, keylessRatio: 1, requestsPerSecond: 150 }).replay(4000);
+	const report = new FleetModel({ ...FLEET, keylessRatio: 1, requestsPerSecond: 150 }).simulate(4000);
 	assert.ok(
 		report.peakToMeanArrivals < 6,
 		`arrivals at the busiest target ${report.peakToMeanArrivals.toFixed(1)} times the mean`
@@ -47,7 +47,7 @@
 		[...model.targets.keys()].forEach(id => earlierIds.add(id));
 		['north', 'central', 'south'].forEach(region => model.addTarget(region));
 	});
-	model.replay(6000);
+	model.simulate(6000);
 	const added = [...model.targets.values()].filter(target => !earlierIds.has(target.id));
 	assert.equal(added.length, 3);
 	added.forEach(target => assert.ok(target.arrivals > 0, `${target.id} got no request`));
--- a/test/loads/crowdedTargets.test.ts
+++ b/test/loads/crowdedTargets.test.ts
@@ -9,11 +9,11 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetModel, type ReplayReport } from './fleetModel.js';
+import { FleetModel, type SimulationReport } from './fleetModel.js';
 
 const SEEDS = [1, 2, 3];
 
-function replay(seed: number): ReplayReport {
+function simulate(seed: number): SimulationReport {
 	return new FleetModel({
 		seed,
 		targets: { south: 100 },
@@ -23,11 +23,11 @@
 		objectiveMs: 2000,
 		target: { slots: 9, queueLength: 27, cacheSize: 11, missMs: 3040, hitMs: 912 },
 		registrationMs: 2000
-	}).replay(14000);
+	}).simulate(14000);
 }
 
 test('objects of a target that cannot serve them all move to other targets, and nearly all responses are in time', () => {
-	const reports = SEEDS.map(replay);
+	const reports = SEEDS.map(simulate);
 	const sum = (field: 'requests' | 'inTime' | 'cacheMisses' | 'distinctObjects'): number =>
 		reports.reduce((total, report) => total + report[field], 0);
 	const inTime = sum('inTime') / sum('requests');
--- a/test/loads/fleetModel.ts
+++ b/test/loads/fleetModel.ts
@@ -76,7 +76,7 @@
 }
 
 /** Totals of a simulation. */
-export interface ReplayReport {
+export interface SimulationReport {
 	readonly requests: number;
 	readonly inTime: number;
 	readonly late: number;
@@ -170,7 +170,7 @@
 	}
 
 	/** Simulates load for the given time, then continues without new requests until all have completed. */
-	replay(durationMs: Millis): ReplayReport {
+	simulate(durationMs: Millis): SimulationReport {
 		this._advance(this._settings.registrationMs ?? 0);
 		this._advance(2 * SYNC_MS);
 		this._isSending = true;
@@ -182,7 +182,7 @@
 		return this._report();
 	}
 
-	/** Schedules a change this long after the start of the load; to be called before `replay`. */
+	/** Schedules a change this long after the start of the load; to be called before `simulate`. */
 	afterStart(delayMs: Millis, change: () => void): void {
 		this._schedule(this.now + (this._settings.registrationMs ?? 0) + 2 * SYNC_MS + delayMs, change);
 	}
@@ -569,7 +569,7 @@
 		}
 	}
 
-	private _report(): ReplayReport {
+	private _report(): SimulationReport {
 		const targets = [...this.targets.values()];
 		const arrivals = targets.map(target => target.arrivals);
 		const total = arrivals.reduce((sum, count) => sum + count, 0);
--- a/test/loads/limitedTargets.test.ts
+++ b/test/loads/limitedTargets.test.ts
@@ -9,7 +9,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetModel, type ReplayReport } from './fleetModel.js';
+import { FleetModel, type SimulationReport } from './fleetModel.js';
 
 const WARM_MS = 6000;
 const LIMITED_MS = 9000;
@@ -21,7 +21,7 @@
 const MAX_ARRIVALS = 4 * LIMIT_PER_SECOND + 2;
 const MIN_UTILIZATION = 0.8;
 
-function replay(seed: number): ReplayReport {
+function simulate(seed: number): SimulationReport {
 	const model = new FleetModel({
 		seed,
 		targets: TARGETS,
@@ -42,12 +42,12 @@
 		});
 	model.afterStart(WARM_MS, () => setLimitOfThird(LIMIT_PER_SECOND));
 	model.afterStart(WARM_MS + LIMITED_MS, () => setLimitOfThird(undefined));
-	return model.replay(END_MS);
+	return model.simulate(END_MS);
 }
 
 test('a third of the targets reports rate limits: all instances together stay within them, use them, and refuse almost no request', () => {
 	for (const seed of [1, 2]) {
-		const report = replay(seed);
+		const report = simulate(seed);
 		const maxArrivals = report.peakLimitUtilization * 4 * LIMIT_PER_SECOND;
 		assert.ok(maxArrivals <= MAX_ARRIVALS, `${maxArrivals} requests in 4 s, limit ${LIMIT_PER_SECOND} per second`);
 		assert.ok(report.meanLimitUtilization >= MIN_UTILIZATION, `${report.meanLimitUtilization} of the limits used`);
--- a/test/loads/overload.test.ts
+++ b/test/loads/overload.test.ts
@@ -9,7 +9,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetModel, type ReplayReport } from './fleetModel.js';
+import { FleetModel, type SimulationReport } from './fleetModel.js';
 
 const OVERLOAD_START_MS = 6000;
 const OVERLOAD_END_MS = 18000;
@@ -17,7 +17,7 @@
 const SETTLED_MS = 12000;
 const END_MS = 26000;
 
-function replay(seed: number, factor: number): ReplayReport {
+function simulate(seed: number, factor: number): SimulationReport {
 	return new FleetModel({
 		seed,
 		targets: { south: 60 },
@@ -29,18 +29,18 @@
 		objectiveMs: 800,
 		target: { slots: 6, queueLength: 18, cacheSize: 20, missMs: 1150, hitMs: 345 },
 		registrationMs: 2000
-	}).replay(END_MS);
+	}).simulate(END_MS);
 }
 
 /** Mean number of responses in time per second over a period. */
-function inTimePerSecond({ inTimeBySecond }: ReplayReport, fromMs: number, toMs: number): number {
+function inTimePerSecond({ inTimeBySecond }: SimulationReport, fromMs: number, toMs: number): number {
 	const seconds = inTimeBySecond.slice(fromMs / 1000, toMs / 1000);
 	return seconds.reduce((sum, count) => sum + count, 0) / seconds.length;
 }
 
 for (const factor of [1.5, 2, 2.6]) {
 	test(`${factor} times the usual load: no fewer responses in time than before, and nearly as many afterwards`, () => {
-		const report = replay(1, factor);
+		const report = simulate(1, factor);
 		const before = inTimePerSecond(report, 3000, OVERLOAD_START_MS);
 		const during = inTimePerSecond(report, SETTLED_MS, OVERLOAD_END_MS);
 		const after = inTimePerSecond(report, OVERLOAD_END_MS + 3000, END_MS);
--- a/test/loads/sheddingTargets.test.ts
+++ b/test/loads/sheddingTargets.test.ts
@@ -9,7 +9,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetModel, type FleetModelSettings, type ReplayReport } from './fleetModel.js';
+import { FleetModel, type FleetModelSettings, type SimulationReport } from './fleetModel.js';
 
 const TARGET = { slots: 9, queueLength: 27, cacheSize: 11, missMs: 3040, hitMs: 912 };
 const FLEET: FleetModelSettings = {
@@ -24,14 +24,14 @@
 const WARM_MS = 6000;
 const SHEDDING_MS = 8000;
 
-function replay(shedRatio: number): ReplayReport {
+function simulate(shedRatio: number): SimulationReport {
 	const model = new FleetModel(FLEET);
 	model.afterStart(WARM_MS, () => model.targets.forEach(target => (target.shedRatio = shedRatio)));
-	return model.replay(WARM_MS + SHEDDING_MS);
+	return model.simulate(WARM_MS + SHEDDING_MS);
 }
 
 test('targets with capacity reject half of the requests: few additional cache misses and late responses', () => {
-	const [normal, shedding] = [replay(0), replay(0.55)];
+	const [normal, shedding] = [simulate(0), simulate(0.55)];
 	const addedMisses = shedding.cacheMisses - normal.cacheMisses;
 	assert.ok(addedMisses < 0.4 * normal.cacheMisses, `${addedMisses} cache misses more than ${normal.cacheMisses}`);
 	const addedLate = shedding.late - normal.late;
