--- a/test/integration/badInput.test.ts
+++ b/test/integration/badInput.test.ts
@@ -117,7 +117,7 @@
 			const invalid = text.replace(from, to);
 			assert.notEqual(invalid, text, `replacement '${to}' does not change the file`);
 			assert.throws(
-				() => parseSettings('bad.ini', invalid, kind),
+				() => parseSettings('invalid.ini', invalid, kind),
 				(error: unknown) => error instanceof SettingsError && expectedError.test(error.message),
 				`${to} must be rejected with ${expectedError}`
 			);
@@ -127,7 +127,7 @@
 
 test('all errors of a settings file are reported at once', () => {
 	const invalid = controlFile.replace('name=c1', 'name=').replace('share=100', 'share=0');
-	assert.throws(() => parseSettings('bad.ini', invalid, ProcessKind.Control), /2 fault\(s\)/);
+	assert.throws(() => parseSettings('invalid.ini', invalid, ProcessKind.Control), /2 fault\(s\)/);
 });
 
 let system: LocalSystem;
@@ -288,9 +288,9 @@
 test(`${operatorCases.length} invalid requests of operators are rejected and change nothing`, async () => {
 	const leader = await system.leader();
 	for (const { body, status, expectedBody } of operatorCases) {
-		const answer = await system.operator(leader, 'POST', '/v1/intents', body);
-		const text = JSON.stringify(answer.body);
-		assert.equal(answer.status, status, text);
+		const response = await system.operator(leader, 'POST', '/v1/intents', body);
+		const text = JSON.stringify(response.body);
+		assert.equal(response.status, status, text);
 		assert.match(text, expectedBody);
 	}
 	const confirmed = await system.operator(leader, 'POST', '/v1/plans/00ff/confirm', {
--- a/test/integration/control.test.ts
+++ b/test/integration/control.test.ts
@@ -65,13 +65,13 @@
 	}
 }
 
-/** Sends a request to the control instances in turn, with the same number, until a response reused than 503 arrives. */
+/** Sends a request to the control instances in turn, with the same number, until a response other than 503 arrives. */
 async function sendUntilFinal(path: string, body: object, controls: readonly LocalControl[]) {
 	for (let i = 0; ; i++) {
 		const control = controls[i % controls.length]!;
-		const answer = await system.operator(control, 'POST', path, body).catch(() => undefined);
-		if (answer && answer.status !== 503) {
-			return answer;
+		const response = await system.operator(control, 'POST', path, body).catch(() => undefined);
+		if (response && response.status !== 503) {
+			return response;
 		}
 		await new Promise(resolve => setTimeout(resolve, 20));
 	}
