--- a/test/soak/faultScript.ts
+++ b/test/soak/faultSchedule.ts
@@ -2,9 +2,9 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The faults of one soak, drawn from its seed: the same seed gives the same faults at the same times. */
+/** Generates the fault schedule of a soak test run from a seed. The same seed gives the same faults at the same times. */
 
-/** What may go wrong. */
+/** Kinds of injected faults. The values are written to the report. */
 export enum FaultKind {
 	KillEntry = 'kill-entry',
 	KillControl = 'kill-control',
@@ -24,25 +24,25 @@
 	RaceTables = 'race-tables'
 }
 
-/** One fault. */
+/** One scheduled fault. The fields are written to the report. */
 export interface Fault {
-	/** Milliseconds from the start of the faults. */
+	/** Start of the fault, in milliseconds after the start of the schedule. */
 	readonly atMs: number;
 	readonly kind: FaultKind;
-	/** Draws the instance, target or link: a number in [0, 1). */
+	/** Selects the affected instance, target or link: a fraction in [0, 1) of the list. */
 	readonly pick: number;
-	/** How long it lasts, where it lasts. */
+	/** Duration in milliseconds; ignored by kinds of faults that have no duration. */
 	readonly forMs: number;
 }
 
 const KINDS = Object.values(FaultKind);
-const LEAST_GAP_MS = 150;
-const MEAN_GAP_MS = 1300;
-const LEAST_SPAN_MS = 300;
-const MEAN_SPAN_MS = 1500;
-const LONGEST_SPAN_MS = 6000;
+const MIN_GAP_MS = 150;
+const MEAN_EXTRA_GAP_MS = 1300;
+const MIN_DURATION_MS = 300;
+const MEAN_EXTRA_DURATION_MS = 1500;
+const MAX_DURATION_MS = 6000;
 
-/** Random numbers in [0, 1) from a seed (mulberry32). */
+/** Returns a seeded generator of pseudo-random numbers in [0, 1) (mulberry32). */
 export function createRandom(seed: number): () => number {
 	let state = seed >>> 0;
 	return () => {
@@ -53,22 +53,22 @@
 	};
 }
 
-function exponential(random: () => number, mean: number): number {
+function sampleExponential(random: () => number, mean: number): number {
 	return -Math.log(1 - random()) * mean;
 }
 
-/** The faults of a seed; they come in series and overlap. */
-export function drawFaults(seed: number, lengthMs: number): Fault[] {
+/** Returns the faults of a seed in order of their start. Consecutive faults may overlap. */
+export function generateFaults(seed: number, lengthMs: number): Fault[] {
 	const random = createRandom(seed);
 	const faults: Fault[] = [];
 	let atMs = 0;
 	for (;;) {
-		atMs += LEAST_GAP_MS + exponential(random, MEAN_GAP_MS);
+		atMs += MIN_GAP_MS + sampleExponential(random, MEAN_EXTRA_GAP_MS);
 		if (atMs >= lengthMs) {
 			return faults;
 		}
 		const kind = KINDS[Math.floor(random() * KINDS.length)]!;
-		const forMs = Math.min(LONGEST_SPAN_MS, LEAST_SPAN_MS + exponential(random, MEAN_SPAN_MS));
+		const forMs = Math.min(MAX_DURATION_MS, MIN_DURATION_MS + sampleExponential(random, MEAN_EXTRA_DURATION_MS));
 		faults.push({ atMs: Math.round(atMs), kind, pick: random(), forMs: Math.round(forMs) });
 	}
 }
--- a/test/soak/observations.ts
+++ b/test/soak/observations.ts
@@ -2,11 +2,11 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** What callers, targets and the operator of a soak saw; the rules are checked by this alone. */
+/** What callers, targets and the operator of a soak test observed. The rules are checked against these records only. */
 
 import type { SeenRequest } from '../platform/standInTarget.js';
 
-/** One request as its caller saw it. Times are milliseconds of one clock. */
+/** One request as its caller observed it. Times are in milliseconds of `performance.now()`. */
 export interface CallerRecord {
 	readonly id: string;
 	readonly method: 'GET' | 'POST';
@@ -14,44 +14,44 @@
 	readonly entry: string;
 	readonly sentAt: number;
 	endedAt: number;
-	/** Undefined where the connection ended without an answer. */
+	/** Undefined if the connection ended without a response. */
 	status?: number;
-	stamp?: string;
+	serverStamp?: string;
 	body?: string;
-	/** Whether a whole answer arrived. */
-	isWhole: boolean;
+	/** Whether the complete response was received. */
+	isComplete: boolean;
 }
 
-/** One run at a target. */
-export interface RunRecord extends SeenRequest {
+/** One execution of a request at a target. */
+export interface ExecutionRecord extends SeenRequest {
 	readonly target: string;
 }
 
-/** An order of the operator, and how it was answered. */
+/** A configuration that the operator published on top of version `base`, and the response status, if any. */
 export interface PublishRecord {
 	readonly base: number;
 	readonly version: number;
 	readonly status?: number;
 }
 
-/** A time in which the system was not whole. */
-export interface Disturbance {
-	readonly what: string;
+/** An injected fault with its start and end, in milliseconds of `performance.now()`. */
+export interface InjectedFault {
+	readonly kind: string;
 	readonly from: number;
 	to: number;
 }
 
-/** Everything that was seen. */
+/** All records of one soak test run. */
 export class Observations {
 	readonly requests: CallerRecord[] = [];
 	readonly published: PublishRecord[] = [];
-	readonly disturbances: Disturbance[] = [];
-	/** Version that was read back at the end; undefined where nobody answered. */
+	readonly injectedFaults: InjectedFault[] = [];
+	/** Configuration version that was read at the end; undefined if no control instance responded. */
 	finalVersion?: number;
 
-	/** Notes a fault from now on. */
-	disturb(what: string, forMs: number): void {
+	/** Records a fault that starts now. */
+	recordFault(kind: string, durationMs: number): void {
 		const now = performance.now();
-		this.disturbances.push({ what, from: now, to: now + forMs });
+		this.injectedFaults.push({ kind, from: now, to: now + durationMs });
 	}
 }
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -2,26 +2,26 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A short soak with a fixed seed, and the rules against records in which each is broken. */
+/** Runs a short soak test with a fixed seed, and checks that each rule detects its violation. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { drawFaults, FaultKind } from './faultScript.js';
-import { type CallerRecord, Observations, type RunRecord } from './observations.js';
+import { generateFaults, FaultKind } from './faultSchedule.js';
+import { type CallerRecord, Observations, type ExecutionRecord } from './observations.js';
 import { checkRules } from './soakRules.js';
 import { SoakRun } from './soakRun.js';
 
 const CI_SEED = 11;
 const CI_LENGTH_MS = 12000;
-const TARGETS = new Set(['t-1']);
+const TARGET_IDS = new Set(['t-1']);
 
-function order(id: string, status: number | undefined): CallerRecord {
-	const answer = { status, stamp: 't-1', body: `${id}:x`, isWhole: true };
-	return { id, method: 'POST', path: `/order/${id}`, entry: 'e', sentAt: 1, endedAt: 2, ...answer };
+function createOrder(id: string, status: number | undefined): CallerRecord {
+	const response = { status, serverStamp: 't-1', body: `${id}:x`, isComplete: true };
+	return { id, method: 'POST', path: `/order/${id}`, entry: 'e', sentAt: 1, endedAt: 2, ...response };
 }
 
-function run(id: string): RunRecord {
-	const seen = {
+function createExecution(id: string): ExecutionRecord {
+	const request = {
 		id,
 		method: 'POST',
 		path: `/order/${id}`,
@@ -31,87 +31,87 @@
 		headers: {},
 		closedEarly: false
 	};
-	return { ...seen, target: 't-1' };
+	return { ...request, target: 't-1' };
 }
 
-function rulesBroken(change: (seen: Observations) => RunRecord[]): string[] {
-	const seen = new Observations();
-	seen.finalVersion = 5;
-	seen.published.push({ base: 1, version: 5, status: 200 });
-	seen.requests.push(order('good', 200));
-	const runs = [run('good'), ...change(seen)];
-	return checkRules(seen, runs, TARGETS, 0).map(breach => breach.rule);
+function findBrokenRules(change: (observations: Observations) => ExecutionRecord[]): string[] {
+	const observations = new Observations();
+	observations.finalVersion = 5;
+	observations.published.push({ base: 1, version: 5, status: 200 });
+	observations.requests.push(createOrder('good', 200));
+	const executions = [createExecution('good'), ...change(observations)];
+	return checkRules(observations, executions, TARGET_IDS, 0).map(breach => breach.rule);
 }
 
-test('a seed always gives the same faults, and many seeds give every kind', () => {
-	assert.deepEqual(drawFaults(3, 60000), drawFaults(3, 60000));
+test('a seed always generates the same faults, and many seeds cover every kind', () => {
+	assert.deepEqual(generateFaults(3, 60000), generateFaults(3, 60000));
 	const kinds = new Set(
-		Array.from({ length: 20 }, (_, seed) => drawFaults(seed, 60000))
+		Array.from({ length: 20 }, (_, seed) => generateFaults(seed, 60000))
 			.flat()
 			.map(({ kind }) => kind)
 	);
 	assert.equal(kinds.size, Object.keys(FaultKind).length);
 });
 
-test('records without fault break nothing', () => {
+test('valid records violate no rule', () => {
 	assert.deepEqual(
-		rulesBroken(() => []),
+		findBrokenRules(() => []),
 		[]
 	);
 });
 
-test('each broken promise is found', () => {
+test('each rule violation is detected', () => {
 	assert.deepEqual(
-		rulesBroken(() => [run('good')]),
+		findBrokenRules(() => [createExecution('good')]),
 		['TWICE']
 	);
 	assert.deepEqual(
-		rulesBroken(() => [run('nobody')]),
+		findBrokenRules(() => [createExecution('nobody')]),
 		['UNASKED']
 	);
 	assert.ok(
-		rulesBroken(seen => {
-			seen.requests.push(order('refused', 503));
-			return [run('refused')];
+		findBrokenRules(observations => {
+			observations.requests.push(createOrder('refused', 503));
+			return [createExecution('refused')];
 		}).includes('REFUSED')
 	);
 	assert.ok(
-		rulesBroken(seen => {
-			seen.requests.push({ ...order('mixed', 200), body: 'other:x' });
+		findBrokenRules(observations => {
+			observations.requests.push({ ...createOrder('mixed', 200), body: 'other:x' });
 			return [];
 		}).includes('MIXED')
 	);
 	assert.ok(
-		rulesBroken(seen => {
-			seen.requests.push(order('denied', 404));
+		findBrokenRules(observations => {
+			observations.requests.push(createOrder('denied', 404));
 			return [];
 		}).includes('DENIED')
 	);
 	assert.deepEqual(
-		rulesBroken(seen => {
-			seen.published.push({ base: 1, version: 4, status: 200 });
+		findBrokenRules(observations => {
+			observations.published.push({ base: 1, version: 4, status: 200 });
 			return [];
 		}),
 		['CONFIG']
 	);
 	assert.deepEqual(
-		rulesBroken(seen => {
-			seen.finalVersion = 4;
+		findBrokenRules(observations => {
+			observations.finalVersion = 4;
 			return [];
 		}),
 		['CONFIG']
 	);
 	assert.ok(
-		rulesBroken(seen => {
-			seen.requests.push(order('lost-1', undefined), order('lost-2', undefined));
+		findBrokenRules(observations => {
+			observations.requests.push(createOrder('lost-1', undefined), createOrder('lost-2', undefined));
 			return [];
 		}).includes('RECOVER')
 	);
 });
 
-test('a short soak breaks no rule', async () => {
+test('a short soak test violates no rule', async () => {
 	const soak = new SoakRun(CI_SEED, CI_LENGTH_MS);
-	const result = await soak.play();
+	const result = await soak.run();
 	assert.deepEqual(result.breaches, [], soak.logs().slice(-4000));
 	assert.ok(result.faults.length >= 5);
 });
--- a/test/soak/soakCallers.ts
+++ b/test/soak/soakCallers.ts
@@ -2,19 +2,19 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Callers of a soak: they keep connections open, look the entry instances up, and write down what they saw. */
+/** Callers of a soak test. They reuse connections, fail over between entry instances and record each request. */
 
 import { Agent, request as httpRequest } from 'node:http';
 import type { DiscoveredSystem, Instance } from '../platform/discoveredSystem.js';
 import type { CallerRecord, Observations } from './observations.js';
 
 const DEADLINE_MS = 2000;
-const GIVE_UP_MS = 3000;
-const PAUSE_MS = 15;
-const ORDER_PART = 0.4;
-const OBJECTS = 40;
+const CLIENT_TIMEOUT_MS = 3000;
+const PAUSE_BETWEEN_REQUESTS_MS = 15;
+const ORDER_FRACTION = 0.4;
+const AFFINITY_KEY_COUNT = 40;
 
-/** One caller after the other asks in a loop of its own. */
+/** Runs callers concurrently; each sends one request at a time in a loop. */
 export class SoakCallers {
 	private readonly _agent = new Agent({ keepAlive: true });
 	private _isRunning = true;
@@ -23,46 +23,46 @@
 
 	constructor(
 		private readonly _system: DiscoveredSystem,
-		private readonly _seen: Observations
+		private readonly _observations: Observations
 	) {}
 
-	/** Starts callers. */
+	/** Starts `count` callers. */
 	start(count: number): void {
 		for (let i = 0; i < count; i++) {
-			this._loops.push(this._run(i));
+			this._loops.push(this._runCaller(i));
 		}
 	}
 
-	/** One request that is written down like the others. */
-	askOnce(entry: Instance): Promise<CallerRecord> {
-		return this._ask(entry);
+	/** Sends one request outside the callers' loops; it is recorded like the others. */
+	sendOnce(entry: Instance): Promise<CallerRecord> {
+		return this._send(entry);
 	}
 
-	/** Ends the callers after their current request. */
+	/** Stops the callers after their current requests. */
 	async stop(): Promise<void> {
 		this._isRunning = false;
 		await Promise.all(this._loops);
 		this._agent.destroy();
 	}
 
-	private async _run(caller: number): Promise<void> {
+	private async _runCaller(caller: number): Promise<void> {
 		let entry = this._system.entries[caller % this._system.entries.length]!;
 		while (this._isRunning) {
-			const record = await this._ask(entry);
+			const record = await this._send(entry);
 			if (record.status === undefined) {
-				entry = this._other(entry);
+				entry = this._nextEntry(entry);
 			}
-			await new Promise(resolve => setTimeout(resolve, PAUSE_MS));
+			await new Promise(resolve => setTimeout(resolve, PAUSE_BETWEEN_REQUESTS_MS));
 		}
 	}
 
-	private _other(entry: Instance): Instance {
+	private _nextEntry(current: Instance): Instance {
 		const { entries } = this._system;
-		return entries[(entries.indexOf(entry) + 1) % entries.length]!;
+		return entries[(entries.indexOf(current) + 1) % entries.length]!;
 	}
 
-	private _ask(entry: Instance): Promise<CallerRecord> {
-		const isOrder = Math.random() < ORDER_PART;
+	private _send(entry: Instance): Promise<CallerRecord> {
+		const isOrder = Math.random() < ORDER_FRACTION;
 		const id = `soak-${++this._sequence}`;
 		const record: CallerRecord = {
 			id,
@@ -71,38 +71,38 @@
 			entry: entry.ip,
 			sentAt: performance.now(),
 			endedAt: 0,
-			isWhole: false
+			isComplete: false
 		};
-		this._seen.requests.push(record);
+		this._observations.requests.push(record);
 		return new Promise(resolve => {
-			const done = (): void => {
+			const finish = (): void => {
 				record.endedAt ||= performance.now();
 				resolve(record);
 			};
 			const request = httpRequest(`${this._system.frontUrl(entry)}${record.path}`, {
 				agent: this._agent,
 				method: record.method,
-				timeout: GIVE_UP_MS,
+				timeout: CLIENT_TIMEOUT_MS,
 				headers: {
 					Host: 'shop.example',
 					'Request-Id': id,
 					'Deadline-Ms': String(DEADLINE_MS),
-					Cookie: `Affinity-Key=${this._sequence % OBJECTS}`
+					Cookie: `Affinity-Key=${this._sequence % AFFINITY_KEY_COUNT}`
 				}
 			});
 			request.on('timeout', () => request.destroy());
-			request.on('error', done);
-			request.on('close', done);
+			request.on('error', finish);
+			request.on('close', finish);
 			request.on('response', response => {
-				const pieces: Buffer[] = [];
+				const chunks: Buffer[] = [];
 				record.status = response.statusCode;
-				record.stamp = response.headers['server-stamp'] as string | undefined;
-				response.on('data', (piece: Buffer) => pieces.push(piece));
-				response.on('error', done);
+				record.serverStamp = response.headers['server-stamp'] as string | undefined;
+				response.on('data', (chunk: Buffer) => chunks.push(chunk));
+				response.on('error', finish);
 				response.on('end', () => {
-					record.isWhole = response.complete;
-					record.body = Buffer.concat(pieces).toString('utf8');
-					done();
+					record.isComplete = response.complete;
+					record.body = Buffer.concat(chunks).toString('utf8');
+					finish();
 				});
 			});
 			request.end(isOrder ? 'units' : undefined);
--- a/test/soak/soakReport.ts
+++ b/test/soak/soakReport.ts
@@ -2,14 +2,14 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The report of a soak as JSON and as one page with plots over time. */
+/** Renders the results of a soak test as an HTML page with plots over time. */
 
 import { readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import type { SoakResult } from './soakRun.js';
 
-/** The page; the plots are drawn by `uplot`. */
-export function soakPage(results: readonly SoakResult[]): string {
+/** Returns a self-contained HTML page; `uplot` draws the plots. */
+export function renderSoakPage(results: readonly SoakResult[]): string {
 	const require = createRequire(import.meta.url);
 	const script = readFileSync(require.resolve('uplot/dist/uPlot.iife.min.js'), 'utf8');
 	const style = readFileSync(require.resolve('uplot/dist/uPlot.min.css'), 'utf8');
--- a/test/soak/soakTargets.ts
+++ b/test/soak/soakTargets.ts
@@ -2,109 +2,113 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Targets of a soak, each behind a link of the fault proxy; they beat, leave, crash and come back under another id. */
+/** Targets of a soak test, each behind a link of the fault proxy. They send heartbeats, drain, crash and restart under a new id. */
 
 import type { LinkRequest, LinkState } from '../faults/faultProxy.js';
 import { ask, type DiscoveredSystem, type Instance } from '../platform/discoveredSystem.js';
 import { StandInTarget } from '../platform/standInTarget.js';
-import type { RunRecord } from './observations.js';
+import type { ExecutionRecord } from './observations.js';
 
-const BEAT_MS = 500;
-const DRAIN_MS = 2500;
+const HEARTBEAT_INTERVAL_MS = 500;
+const DRAIN_DURATION_MS = 2500;
 const SERVICE = 'reads';
 
-interface Place {
+/** A target and its link of the fault proxy. */
+interface ProxiedTarget {
 	readonly index: number;
 	target: StandInTarget;
 	linkUrl: string;
-	address: string;
-	isLeaving: boolean;
-	isDown: boolean;
+	proxiedAddress: string;
+	isDraining: boolean;
+	isStopped: boolean;
 }
 
-/** The targets and their links. */
+/** Manages the targets and their links. */
 export class SoakTargets {
-	/** Ids of all targets that ever were. */
+	/** Ids of all targets started so far, including replaced ones. */
 	readonly ids = new Set<string>();
-	private readonly _places: Place[] = [];
-	private readonly _past: StandInTarget[] = [];
+	private readonly _proxiedTargets: ProxiedTarget[] = [];
+	private readonly _replacedTargets: StandInTarget[] = [];
 	private _incarnation = 0;
 	private _sequence = 0;
-	private _timer?: NodeJS.Timeout;
+	private _heartbeatTimer?: NodeJS.Timeout;
 
 	constructor(
 		private readonly _system: DiscoveredSystem,
 		private readonly _proxyUrl: string
 	) {}
 
-	/** Starts targets and their heartbeats. */
+	/** Starts `count` targets and their heartbeats. */
 	async start(count: number): Promise<void> {
 		for (let index = 1; index <= count; index++) {
-			this._places.push(await this._open(index));
+			this._proxiedTargets.push(await this._startTarget(index));
 		}
-		this._timer = setInterval(() => this._places.forEach(place => void this._beat(place)), BEAT_MS);
+		this._heartbeatTimer = setInterval(
+			() => this._proxiedTargets.forEach(proxied => void this._sendHeartbeat(proxied)),
+			HEARTBEAT_INTERVAL_MS
+		);
 	}
 
-	/** Every run so far. */
-	get runs(): RunRecord[] {
-		const all = [...this._past, ...this._places.map(place => place.target)];
+	/** All executions so far, including those at replaced targets. */
+	get executions(): ExecutionRecord[] {
+		const all = [...this._replacedTargets, ...this._proxiedTargets.map(proxied => proxied.target)];
 		return all.flatMap(target => target.ran.map(seen => ({ ...seen, target: target.options.id })));
 	}
 
-	/** Changes one link for a while. */
-	async disturbLink(
+	/** Applies `change` to one link, and `restored` after `durationMs`. Resolves once `change` is applied. */
+	async injectLinkFault(
 		pick: number,
 		change: Partial<LinkState>,
-		mended: Partial<LinkState>,
-		forMs: number
+		restored: Partial<LinkState>,
+		durationMs: number
 	): Promise<void> {
-		const place = this._pick(pick);
-		await this._changeLink(place, change);
-		setTimeout(() => void this._changeLink(place, mended).catch(() => undefined), forMs);
+		const proxied = this._select(pick);
+		await this._changeLink(proxied, change);
+		setTimeout(() => void this._changeLink(proxied, restored).catch(() => undefined), durationMs);
 	}
 
-	/** A target crashes; after a while another one starts in its place. */
-	async crash(pick: number, forMs: number): Promise<void> {
-		const place = this._pick(pick);
-		if (place.isDown) {
+	/** Crashes a target and starts a replacement after `restartDelayMs`. */
+	async crash(pick: number, restartDelayMs: number): Promise<void> {
+		const proxied = this._select(pick);
+		if (proxied.isStopped) {
 			return;
 		}
-		place.isDown = true;
-		place.target.crash();
-		await new Promise(resolve => setTimeout(resolve, forMs));
-		await this._replace(place);
+		proxied.isStopped = true;
+		proxied.target.crash();
+		await new Promise(resolve => setTimeout(resolve, restartDelayMs));
+		await this._replace(proxied);
 	}
 
-	/** A target says that it leaves, goes on for its drain, ends, and another one starts. */
+	/** Reports a target as draining, keeps it running for the drain duration, stops it and starts a replacement. */
 	async drain(pick: number): Promise<void> {
-		const place = this._pick(pick);
-		if (place.isLeaving || place.isDown) {
+		const proxied = this._select(pick);
+		if (proxied.isDraining || proxied.isStopped) {
 			return;
 		}
-		place.isLeaving = true;
-		await this._beat(place);
-		await new Promise(resolve => setTimeout(resolve, DRAIN_MS));
-		place.isDown = true;
-		place.target.crash();
-		await this._replace(place);
+		proxied.isDraining = true;
+		await this._sendHeartbeat(proxied);
+		await new Promise(resolve => setTimeout(resolve, DRAIN_DURATION_MS));
+		proxied.isStopped = true;
+		proxied.target.crash();
+		await this._replace(proxied);
 	}
 
-	/** Ends everything. */
+	/** Stops all targets and heartbeats. */
 	stop(): void {
-		clearInterval(this._timer);
-		this._places.forEach(place => place.target.crash());
+		clearInterval(this._heartbeatTimer);
+		this._proxiedTargets.forEach(proxied => proxied.target.crash());
 	}
 
-	private _pick(pick: number): Place {
-		return this._places[Math.floor(pick * this._places.length)]!;
+	private _select(pick: number): ProxiedTarget {
+		return this._proxiedTargets[Math.floor(pick * this._proxiedTargets.length)]!;
 	}
 
-	private async _replace(place: Place): Promise<void> {
-		this._past.push(place.target);
-		Object.assign(place, await this._open(place.index));
+	private async _replace(proxied: ProxiedTarget): Promise<void> {
+		this._replacedTargets.push(proxied.target);
+		Object.assign(proxied, await this._startTarget(proxied.index));
 	}
 
-	private async _open(index: number): Promise<Place> {
+	private async _startTarget(index: number): Promise<ProxiedTarget> {
 		const id = `t-${index}-${++this._incarnation}`;
 		const host = this._system.targetHost(index);
 		const target = new StandInTarget({
@@ -118,36 +122,43 @@
 		await target.listen();
 		this.ids.add(id);
 		const link: LinkRequest = { from: 'entries', to: id, target: target.address, delayMs: 0 };
-		const made = await ask('POST', `${this._proxyUrl}/links`, { body: JSON.stringify(link) });
-		const { id: linkId, address } = JSON.parse(made.body) as { id: number; address: string };
-		return { index, target, linkUrl: `${this._proxyUrl}/links/${linkId}`, address, isLeaving: false, isDown: false };
+		const response = await ask('POST', `${this._proxyUrl}/links`, { body: JSON.stringify(link) });
+		const { id: linkId, address } = JSON.parse(response.body) as { id: number; address: string };
+		return {
+			index,
+			target,
+			linkUrl: `${this._proxyUrl}/links/${linkId}`,
+			proxiedAddress: address,
+			isDraining: false,
+			isStopped: false
+		};
 	}
 
-	private async _changeLink(place: Place, change: Partial<LinkState>): Promise<void> {
-		await ask('POST', place.linkUrl, { body: JSON.stringify(change) });
+	private async _changeLink(proxied: ProxiedTarget, change: Partial<LinkState>): Promise<void> {
+		await ask('POST', proxied.linkUrl, { body: JSON.stringify(change) });
 	}
 
-	/** One heartbeat, to the first control instance that takes it. */
-	private async _beat(place: Place): Promise<void> {
-		if (place.isDown) {
+	/** Sends one heartbeat to the control instances in turn until one accepts it. */
+	private async _sendHeartbeat(proxied: ProxiedTarget): Promise<void> {
+		if (proxied.isStopped) {
 			return;
 		}
-		const { id, slots } = place.target.options;
+		const { id, slots } = proxied.target.options;
 		const body = JSON.stringify({
-			addr: place.address,
+			addr: proxied.proxiedAddress,
 			info: { service: SERVICE, version: 'v1', zone: 'hall-1', slots },
-			status: { state: place.isLeaving ? 'draining' : 'ready', seq: ++this._sequence, cold_left: '0ms' }
+			status: { state: proxied.isDraining ? 'draining' : 'ready', seq: ++this._sequence, cold_left: '0ms' }
 		});
 		for (const control of this._system.controls) {
-			if (await this._isTaken(control, id, body)) {
+			if (await this._isHeartbeatAccepted(control, id, body)) {
 				return;
 			}
 		}
 	}
 
-	private async _isTaken(control: Instance, id: string, body: string): Promise<boolean> {
+	private async _isHeartbeatAccepted(control: Instance, id: string, body: string): Promise<boolean> {
 		const path = `/api/instances/${id}`;
-		const answer = await this._system.control(control, 'PUT', path, body, undefined, 1000).catch(() => undefined);
-		return answer?.status === 200;
+		const response = await this._system.control(control, 'PUT', path, body, undefined, 1000).catch(() => undefined);
+		return response?.status === 200;
 	}
 }
