--- a/test/faults/faultProxy.ts
+++ b/test/faults/faultProxy.ts
@@ -3,37 +3,39 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * The fault-injecting proxy: TCP links with a delay each way, that can be cut in silence both ways or one way, reset, and
- * mended. One process carries many links.
+ * Fault-injecting TCP proxy. Each link can delay data, drop it in one or both directions without closing connections, and
+ * reset connections. One process serves many links.
  *
- * `POST /links` with `{from, to, target, delayMs}` answers `{id, address}`; `POST /links/<id>` changes a `LinkState`.
+ * `POST /links` with a `LinkRequest` creates a link and returns `{id, address}`; `POST /links/<id>` with a partial
+ * `LinkState` changes it and returns its state.
  */
 
 import { createServer as createHttpServer } from 'node:http';
 import { type AddressInfo, createServer, connect, type Socket } from 'node:net';
 
-/** What is wrong with a link. */
+/** Faults that are active on a link. */
 export interface LinkState {
-	/** Delay one way, in milliseconds. */
+	/** Delay in each direction, in milliseconds. */
 	delayMs: number;
-	/** Bytes from the caller's side are dropped. */
+	/** Whether data from the client is dropped. */
 	cutForward: boolean;
-	/** Bytes from the target's side are dropped. */
+	/** Whether data from the target is dropped. */
 	cutBackward: boolean;
-	/** Reset every connection after this many more bytes; absent for never. */
+	/** Number of bytes, in both directions together, after which all connections are reset; 0 resets them at once. Undefined for never. */
 	resetAfterBytes?: number;
 }
 
-/** What a link is made of. */
+/** Parameters of a new link. */
 export interface LinkRequest {
+	/** Name of the sending side, for selecting links. */
 	readonly from: string;
+	/** Name of the receiving side, for selecting links. */
 	readonly to: string;
-	/** Address behind the link. */
+	/** Address to which connections are forwarded, as `host:port`. */
 	readonly target: string;
 	readonly delayMs: number;
 }
 
-/** One link. */
 class Link {
 	readonly state: LinkState;
 	private readonly _sockets = new Set<Socket>();
@@ -55,32 +57,32 @@
 		}
 	}
 
-	private _accept(near: Socket): void {
+	private _accept(clientSocket: Socket): void {
 		const [host, port] = this.request.target.split(':');
-		const far = connect({ host: host!, port: Number(port), noDelay: true });
-		this._pipe(near, far, () => this.state.cutForward);
-		this._pipe(far, near, () => this.state.cutBackward);
+		const targetSocket = connect({ host: host!, port: Number(port), noDelay: true });
+		this._forward(clientSocket, targetSocket, () => this.state.cutForward);
+		this._forward(targetSocket, clientSocket, () => this.state.cutBackward);
 	}
 
-	private _pipe(source: Socket, sink: Socket, isCut: () => boolean): void {
+	private _forward(source: Socket, sink: Socket, isCut: () => boolean): void {
 		this._sockets.add(source);
 		source.on('error', () => sink.destroy());
 		source.on('close', () => {
 			this._sockets.delete(source);
-			this._later(() => !isCut() && sink.destroy());
+			this._runDelayed(() => !isCut() && sink.destroy());
 		});
-		source.on('end', () => this._later(() => !isCut() && sink.end()));
+		source.on('end', () => this._runDelayed(() => !isCut() && sink.end()));
 		source.on('data', chunk => {
-			this._later(() => {
+			this._runDelayed(() => {
 				if (isCut() || sink.destroyed) {
 					return;
 				}
-				sink.write(this._limit(chunk));
+				sink.write(this._truncateAtReset(chunk));
 			});
 		});
 	}
 
-	private _later(action: () => void): void {
+	private _runDelayed(action: () => void): void {
 		if (this.state.delayMs > 0) {
 			setTimeout(action, this.state.delayMs);
 		} else {
@@ -88,19 +90,19 @@
 		}
 	}
 
-	/** Lets through what is left before a reset. */
-	private _limit(chunk: Buffer): Buffer {
-		const left = this.state.resetAfterBytes;
-		if (left === undefined) {
+	/** Returns the part of the chunk that is sent before a pending reset, and triggers the reset once its limit is reached. */
+	private _truncateAtReset(chunk: Buffer): Buffer {
+		const remainingBytes = this.state.resetAfterBytes;
+		if (remainingBytes === undefined) {
 			return chunk;
 		}
-		this.state.resetAfterBytes = left - chunk.length;
-		if (left > chunk.length) {
+		this.state.resetAfterBytes = remainingBytes - chunk.length;
+		if (remainingBytes > chunk.length) {
 			return chunk;
 		}
 		this.state.resetAfterBytes = undefined;
 		setImmediate(() => this._resetAll());
-		return chunk.subarray(0, left);
+		return chunk.subarray(0, remainingBytes);
 	}
 
 	private _resetAll(): void {
@@ -111,7 +113,7 @@
 
 const links: Link[] = [];
 
-async function handle(path: string, body: string): Promise<unknown> {
+async function handleRequest(path: string, body: string): Promise<unknown> {
 	if (path === '/links') {
 		const link = new Link(JSON.parse(body) as LinkRequest);
 		links.push(link);
@@ -123,18 +125,18 @@
 	return link.state;
 }
 
-const control = createHttpServer((request, response) => {
+const controlServer = createHttpServer((request, response) => {
 	const chunks: Buffer[] = [];
 	request.on('data', (chunk: Buffer) => chunks.push(chunk));
 	request.on('end', () => {
-		handle(request.url!, Buffer.concat(chunks).toString()).then(
+		handleRequest(request.url!, Buffer.concat(chunks).toString()).then(
 			answer => response.end(JSON.stringify(answer)),
 			(error: Error) => response.writeHead(400).end(error.message)
 		);
 	});
 });
-control.listen(0, '127.0.0.1', () => {
-	const { port } = control.address() as AddressInfo;
+controlServer.listen(0, '127.0.0.1', () => {
+	const { port } = controlServer.address() as AddressInfo;
 	process.stdout.write(`${JSON.stringify({ url: `http://127.0.0.1:${port}` })}\n`);
 });
 process.on('disconnect', () => process.exit(0));
--- a/test/faults/matrixPlan.ts
+++ b/test/faults/matrixPlan.ts
@@ -2,9 +2,9 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** The steps and faults of the matrix, and the cells that cannot occur. */
+/** Steps and faults of the fault matrix, and the cells that cannot occur. */
 
-/** Every step at which a fault may come. */
+/** Steps at which faults are injected. */
 export const STEPS: readonly string[] = [
 	'intent sent',
 	'plan answered',
@@ -27,7 +27,7 @@
 	'new member added'
 ];
 
-/** Every fault. */
+/** Faults of the matrix. */
 export const FAULTS: readonly string[] = [
 	'leader killed',
 	'leader frozen for longer than every lease',
@@ -48,28 +48,28 @@
 	'a second loss right after a repair'
 ];
 
-/** A cell that cannot occur, with the reason. */
+/** A combination of step and fault that cannot occur. The reason is written to the report as the result. */
 export interface ImpossibleCell {
 	readonly step: string;
 	readonly fault: string;
-	readonly why: string;
+	readonly reason: string;
 }
 
 const OPERATOR_STEPS = ['intent sent', 'plan answered', 'confirm sent'];
 
-/** Cells that cannot occur. */
-export const CANNOT_OCCUR: readonly ImpossibleCell[] = [
+/** Cells that are not run because the fault cannot affect the step. */
+export const IMPOSSIBLE_CELLS: readonly ImpossibleCell[] = [
 	...OPERATOR_STEPS.map(step => ({
 		step,
 		fault: 'platform list late',
-		why: 'cannot occur: the list is read by entry instances only; no answer to an operator depends on it'
+		reason: 'cannot occur: the list is read by entry instances only; no answer to an operator depends on it'
 	})),
 	...OPERATOR_STEPS.map(step => ({
 		step,
 		fault: 'endpoints lie',
-		why: 'cannot occur: no target endpoint is read for a decision'
+		reason: 'cannot occur: no target endpoint is read for a decision'
 	}))
 ];
 
-/** What stands in the cells that were not brought about. */
+/** Result of a cell that was not run. */
 export const NOT_RUN_REASON = 'not run';
