--- a/test/bench/capacity.ts
+++ b/test/bench/capacity.ts
@@ -2,7 +2,10 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** `npm run capacity`: measures the slopes that docs/CAPACITY.md is worked out from; raw results in docs/capacity/. */
+/**
+ * `npm run capacity [-- NAME]`: measures how resource use scales, as input for docs/CAPACITY.md. Raw results are written to
+ * docs/capacity/.
+ */
 
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { monitorEventLoopDelay } from 'node:perf_hooks';
@@ -16,22 +19,22 @@
 import { LocalSystem } from '../local/localSystem.js';
 import type { StubCounts } from './stubSubscribers.js';
 
-const FOLDER = 'docs/capacity';
+const RESULTS_FOLDER = 'docs/capacity';
 const BLOCK_COUNTS = [28_000, 280_000, 2_800_000];
 const CHANGE_COUNTS = [1, 100, 10_000];
 const SUBSCRIBER_COUNTS = [9, 100, 300, 650];
-const SITES = 74;
-const LOOKUPS = 2_000_000;
+const SITE_COUNT = 74;
+const LOOKUP_COUNT = 2_000_000;
 const MEASURE_MS = 5000;
-const TICKS_PER_SECOND = 100;
+const CLOCK_TICKS_PER_SECOND = 100;
 const CHANGES_WHILE_MEASURING = 5;
-const CLAIM_BATCHES = [1, 16, 128, 512];
-const CLAIM_MS = 2000;
+const CLAIM_CONCURRENCIES = [1, 16, 128, 512];
+const CLAIM_MEASURE_MS = 2000;
 
-function makeTable(count: number): BlockTable {
+function createBlockTable(count: number): BlockTable {
 	const step = Math.floor(2 ** 32 / count);
 	const starts = Uint32Array.from({ length: count }, (_unused, i) => i * step);
-	const sites = Uint8Array.from({ length: count }, (_unused, i) => (i * 7919) % SITES);
+	const sites = Uint8Array.from({ length: count }, (_unused, i) => (i * 7919) % SITE_COUNT);
 	return BlockTable.fromSorted(starts, sites);
 }
 
@@ -39,17 +42,17 @@
 	const addresses = Uint32Array.from({ length: 65536 }, () => Math.floor(Math.random() * 2 ** 32));
 	const startedAt = performance.now();
 	let sum = 0;
-	for (let i = 0; i < LOOKUPS; i++) {
+	for (let i = 0; i < LOOKUP_COUNT; i++) {
 		sum += table.lookUp(addresses[i & 65535]!);
 	}
 	const seconds = (performance.now() - startedAt) / 1000;
-	return sum >= 0 ? Math.round(LOOKUPS / seconds) : 0;
+	return sum >= 0 ? Math.round(LOOKUP_COUNT / seconds) : 0;
 }
 
 async function measureChanges(table: BlockTable, count: number) {
 	const changes = Array.from({ length: count }, () => {
 		const from = Math.floor(Math.random() * (2 ** 32 - 70000));
-		return { from, to: from + 65536, site: Math.floor(Math.random() * SITES) };
+		return { from, to: from + 65536, site: Math.floor(Math.random() * SITE_COUNT) };
 	});
 	const delay = monitorEventLoopDelay({ resolution: 1 });
 	delay.enable();
@@ -62,9 +65,9 @@
 	delay.disable();
 	return {
 		changes: count,
-		totalMs: round(totalMs),
-		// A change that fits one turn is one pause; the sampled delay misses it.
-		longestPauseMs: round(count <= 50 ? totalMs : delay.max / 1e6),
+		totalMs: roundTo2(totalMs),
+		// A small change is applied in one event loop turn, so its whole duration is the pause; the sampled delay misses it.
+		longestPauseMs: roundTo2(count <= 50 ? totalMs : delay.max / 1e6),
 		deltaBytes: encode(changes).byteLength
 	};
 }
@@ -72,7 +75,7 @@
 async function measureBlocks() {
 	const results = [];
 	for (const count of BLOCK_COUNTS) {
-		const table = makeTable(count);
+		const table = createBlockTable(count);
 		measureLookups(table);
 		const changes = [];
 		for (const size of CHANGE_COUNTS) {
@@ -83,10 +86,10 @@
 	return results;
 }
 
-/** Processor seconds that a process has used so far, its system time included. */
+/** Returns the user and system CPU time of a process so far, in seconds. */
 function cpuSeconds(pid: number): number {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
-	return (Number(fields[11]) + Number(fields[12])) / TICKS_PER_SECOND;
+	return (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS_PER_SECOND;
 }
 
 function residentMb(pid: number): number {
@@ -105,8 +108,8 @@
 	await stub.waitForLine(line => line['message'] === 'ready');
 	await sleep(3000);
 	const leader = await system.leader();
-	const before = system.controls.map(item => cpuSeconds(item.process.pid));
-	const stubBefore = cpuSeconds(stub.pid);
+	const cpuSecondsBefore = system.controls.map(item => cpuSeconds(item.process.pid));
+	const stubCpuSecondsBefore = cpuSeconds(stub.pid);
 	const startedAt = performance.now();
 	const confirmMs: number[] = [];
 	for (let i = 0; i < CHANGES_WHILE_MEASURING; i++) {
@@ -114,27 +117,30 @@
 		await sleep(MEASURE_MS / CHANGES_WHILE_MEASURING);
 	}
 	const seconds = (performance.now() - startedAt) / 1000;
-	const controlCores = system.controls.map((item, i) => (cpuSeconds(item.process.pid) - before[i]!) / seconds);
-	const stubCores = (cpuSeconds(stub.pid) - stubBefore) / seconds;
-	const counted = stub.waitForLine(line => line['counts'] !== undefined);
+	const controlCores = system.controls.map(
+		(item, i) => (cpuSeconds(item.process.pid) - cpuSecondsBefore[i]!) / seconds
+	);
+	const stubCores = (cpuSeconds(stub.pid) - stubCpuSecondsBefore) / seconds;
+	const countsLine = stub.waitForLine(line => line['counts'] !== undefined);
 	stub.send('report');
-	const { counts } = (await counted) as unknown as { counts: StubCounts };
+	const { counts } = (await countsLine) as unknown as { counts: StubCounts };
 	await stub.exited;
-	const lifetime = seconds + 3;
+	const sessionSeconds = seconds + 3;
 	return {
 		subscribers: count,
-		controlCores: controlCores.map(round3),
+		controlCores: controlCores.map(roundTo4),
 		leader: leader.name,
 		controlMb: system.controls.map(item => residentMb(item.process.pid)),
-		stubCoresEach: round3(stubCores / count),
-		bytesDownEachPerSecond: Math.round(counts.bytesDown / count / lifetime),
-		bytesUpEachPerSecond: Math.round(counts.bytesUp / count / lifetime),
-		updatesEachPerSecond: round(counts.updates / count / lifetime),
-		confirmMs: confirmMs.map(round),
-		spreadMs: counts.spreadMs.map(round)
+		stubCoresEach: roundTo4(stubCores / count),
+		bytesDownEachPerSecond: Math.round(counts.bytesDown / count / sessionSeconds),
+		bytesUpEachPerSecond: Math.round(counts.bytesUp / count / sessionSeconds),
+		updatesEachPerSecond: roundTo2(counts.updates / count / sessionSeconds),
+		confirmMs: confirmMs.map(roundTo2),
+		spreadMs: counts.spreadMs.map(roundTo2)
 	};
 }
 
+/** Plans and confirms a change of a share. Returns the duration of the confirm request in milliseconds. */
 async function changeShare(
 	system: LocalSystem,
 	control: LocalSystem['controls'][number],
@@ -160,15 +166,15 @@
 	const leader = await system.leader();
 	const today = new Date().toISOString().slice(0, 10);
 	const results = [];
-	for (const atOnce of CLAIM_BATCHES) {
-		let done = 0;
-		const until = performance.now() + CLAIM_MS;
+	for (const atOnce of CLAIM_CONCURRENCIES) {
+		let completed = 0;
+		const endAt = performance.now() + CLAIM_MEASURE_MS;
 		const worker = async (worker: number): Promise<void> => {
-			for (let i = 0; performance.now() < until; i++) {
+			for (let i = 0; performance.now() < endAt; i++) {
 				const id = `${atOnce}-${worker}-${i}`;
 				const request = { key: `${today}-${id}`, digest: 'd'.repeat(64), requestId: id };
 				await wire.call(leader.peerAddress, claimMethod, request, 5000);
-				done++;
+				completed++;
 			}
 		};
 		const startedAt = performance.now();
@@ -176,15 +182,16 @@
 		const seconds = (performance.now() - startedAt) / 1000;
 		results.push({
 			atOnce,
-			claimsPerSecond: Math.round(done / seconds),
-			meanMs: round((seconds * 1000 * atOnce) / done)
+			claimsPerSecond: Math.round(completed / seconds),
+			meanMs: roundTo2((seconds * 1000 * atOnce) / completed)
 		});
 	}
 	wire.dispose();
 	return results;
 }
 
-function measureState() {
+/** Measures the size of a snapshot after different numbers of configuration changes. */
+function measureSnapshotSizes() {
 	return [100, 1000, 10000].map(changes => {
 		const state = new ControlState();
 		for (let i = 0; i < changes; i++) {
@@ -196,7 +203,7 @@
 	});
 }
 
-/** Stores and confirms a plan of one stage. */
+/** Stores and confirms a plan with one stage, begins the stage, and returns the command that completes the plan. */
 function storeAndConfirm(state: ControlState, i: number, groupChange: object): unknown {
 	const planId = `p${i}`;
 	const stage = { move: 'm', from: '-', to: '-', group: 'g', share: 0, pace: '-', at: 0, moves: [], groupChange };
@@ -223,40 +230,40 @@
 	return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-function round(value: number): number {
+function roundTo2(value: number): number {
 	return Math.round(value * 100) / 100;
 }
 
-function round3(value: number): number {
+function roundTo4(value: number): number {
 	return Math.round(value * 10000) / 10000;
 }
 
-function write(name: string, result: unknown): void {
-	mkdirSync(FOLDER, { recursive: true });
-	writeFileSync(`${FOLDER}/${name}.json`, `${JSON.stringify(result, undefined, 2)}\n`);
+function writeResult(name: string, result: unknown): void {
+	mkdirSync(RESULTS_FOLDER, { recursive: true });
+	writeFileSync(`${RESULTS_FOLDER}/${name}.json`, `${JSON.stringify(result, undefined, 2)}\n`);
 	process.stdout.write(`${name}: ${JSON.stringify(result)}\n`);
 }
 
-const wanted = process.argv[2];
-const isWanted = (name: string): boolean => wanted === undefined || wanted === name;
-if (isWanted('blocks')) {
-	write('blocks', await measureBlocks());
+const selectedName = process.argv[2];
+const isSelected = (name: string): boolean => selectedName === undefined || selectedName === name;
+if (isSelected('blocks')) {
+	writeResult('blocks', await measureBlocks());
 }
-if (isWanted('state')) {
-	write('state', measureState());
+if (isSelected('state')) {
+	writeResult('state', measureSnapshotSizes());
 }
-if (isWanted('subscribers') || isWanted('claims')) {
+if (isSelected('subscribers') || isSelected('claims')) {
 	const system = await LocalSystem.start({ targetsPerService: 6 });
 	try {
-		if (isWanted('claims')) {
-			write('claims', await measureClaims(system));
+		if (isSelected('claims')) {
+			writeResult('claims', await measureClaims(system));
 		}
-		if (isWanted('subscribers')) {
+		if (isSelected('subscribers')) {
 			const results = [];
 			for (const [i, count] of SUBSCRIBER_COUNTS.entries()) {
 				results.push(await measureSubscribers(system, count, 1000 + i * 100));
 			}
-			write('subscribers', results);
+			writeResult('subscribers', results);
 		}
 	} finally {
 		await system.stop();
--- a/test/bench/choice.ts
+++ b/test/bench/choice.ts
@@ -3,8 +3,8 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * What the choice of a target costs: `npm run bench:choice`. Fleets of three sizes, without limits and with a limit on each target; microseconds a
- * choice, the median of several rounds on one core.
+ * `npm run bench:choice`: measures target selection in microseconds per selection, as the median of several rounds on one
+ * core, for three fleet sizes, without limits and with a limit on each target.
  */
 
 import type { Millis } from '../../src/base/clock.js';
@@ -17,12 +17,12 @@
 import { TargetLimitTable } from '../../src/plugins/limits/common/targetLimitTable.js';
 import { RepeatRule, type Route } from '../../src/plugins/routes/common/routeTable.js';
 
-const SIZES: readonly number[] = [36, 163, 552];
+const TARGET_COUNTS: readonly number[] = [36, 163, 552];
 const REGIONS: readonly string[] = ['north', 'central', 'south'];
-const CHOICES = 4000;
-const ROUNDS = 9;
-const OBJECTS = 300;
-const NAME = 'entry-0';
+const CHOICES_PER_ROUND = 4000;
+const ROUND_COUNT = 9;
+const OBJECT_COUNT = 300;
+const ENTRY_NAME = 'entry-0';
 const SERVICE = 'reads';
 
 const ROUTE: Route = {
@@ -40,7 +40,7 @@
 	isPublic: true
 };
 
-function describeTarget(index: number, limitPerSecond: number | undefined): TargetRecord {
+function createTargetRecord(index: number, limitPerSecond: number | undefined): TargetRecord {
 	return {
 		id: `i-${index}`,
 		bornAt: 0,
@@ -51,12 +51,12 @@
 		slots: 9,
 		phase: TargetPhase.Serving,
 		changedAt: 2,
-		pacedSenders: [NAME],
+		pacedSenders: [ENTRY_NAME],
 		...(limitPerSecond === undefined ? {} : { limitPerSecond })
 	};
 }
 
-function responseWith(targets: readonly TargetRecord[]): SyncResponse {
+function createSyncResponse(targets: readonly TargetRecord[]): SyncResponse {
 	const service = { name: SERVICE, healthPath: '/', maxConnections: 1000, coldStartMs: 0, coldPerSecond: 5 };
 	const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 	const table = { version: 1, routes: [], services: [service], teams: undefined, limits };
@@ -66,7 +66,7 @@
 		contactAgeMs: 0,
 		hasHeardAll: true,
 		entryCount: 9,
-		regionEntries: [NAME],
+		regionEntries: [ENTRY_NAME],
 		hallPeers: [],
 		limitSenders: [],
 		silentTargets: [],
@@ -76,18 +76,21 @@
 	};
 }
 
-function newSelector(targets: number, limitPerSecond: number | undefined): TargetSelector {
+function createSelector(targetCount: number, limitPerSecond: number | undefined): TargetSelector {
 	const view = new FleetView(hall => hall);
-	view.apply(responseWith(Array.from({ length: targets }, (_, i) => describeTarget(i, limitPerSecond))), 1);
-	const share = new PaceShare(NAME, () => 0);
-	const place = { name: NAME, hall: 'north', region: 'north' };
+	view.apply(
+		createSyncResponse(Array.from({ length: targetCount }, (_, i) => createTargetRecord(i, limitPerSecond))),
+		1
+	);
+	const share = new PaceShare(ENTRY_NAME, () => 0);
+	const location = { name: ENTRY_NAME, hall: 'north', region: 'north' };
 	const shifts = { maxMovedFraction: 0.15, windowMs: 2000 };
-	return new TargetSelector(view, place, REGIONS, shifts, share, new TargetLimitTable(view, share));
+	return new TargetSelector(view, location, REGIONS, shifts, share, new TargetLimitTable(view, share));
 }
 
-function newJourney(index: number): RequestContext {
+function createRequestContext(index: number): RequestContext {
 	return {
-		exchange: { objectKey: `o-${index % OBJECTS}`, requestId: `r-${index}`, isDisconnected: false },
+		exchange: { objectKey: `o-${index % OBJECT_COUNT}`, requestId: `r-${index}`, isDisconnected: false },
 		route: ROUTE,
 		homeRegions: [],
 		service: SERVICE,
@@ -98,21 +101,25 @@
 	} as unknown as RequestContext;
 }
 
-/** @returns microseconds a choice */
-function timeRound(selector: TargetSelector, now: Millis): number {
+/** Returns the mean time of one selection, in microseconds. */
+function measureRound(selector: TargetSelector, now: Millis): number {
 	const startedAt = performance.now();
-	for (let i = 0; i < CHOICES; i++) {
-		selector.choose(newJourney(i), now + i / 100);
+	for (let i = 0; i < CHOICES_PER_ROUND; i++) {
+		selector.choose(createRequestContext(i), now + i / 100);
 	}
-	return ((performance.now() - startedAt) * 1000) / CHOICES;
+	return ((performance.now() - startedAt) * 1000) / CHOICES_PER_ROUND;
 }
 
-for (const targets of SIZES) {
+for (const targetCount of TARGET_COUNTS) {
 	for (const limitPerSecond of [undefined, 1000]) {
-		const selector = newSelector(targets, limitPerSecond);
-		const rounds = Array.from({ length: ROUNDS }, (_, i) => timeRound(selector, 1000 + i * 50)).sort((a, b) => a - b);
-		const [least, median, most] = [rounds[0]!, rounds[ROUNDS >> 1]!, rounds[ROUNDS - 1]!].map(us => us.toFixed(1));
-		const what = limitPerSecond === undefined ? 'no limits' : 'a limit on each target';
-		process.stdout.write(`${targets} targets, ${what}: ${median} µs a choice (${least} to ${most})\n`);
+		const selector = createSelector(targetCount, limitPerSecond);
+		const rounds = Array.from({ length: ROUND_COUNT }, (_, i) => measureRound(selector, 1000 + i * 50)).sort(
+			(a, b) => a - b
+		);
+		const [min, median, max] = [rounds[0]!, rounds[ROUND_COUNT >> 1]!, rounds[ROUND_COUNT - 1]!].map(us =>
+			us.toFixed(1)
+		);
+		const limitText = limitPerSecond === undefined ? 'no limits' : 'a limit on each target';
+		process.stdout.write(`${targetCount} targets, ${limitText}: ${median} µs a choice (${min} to ${max})\n`);
 	}
 }
--- a/test/bench/load.ts
+++ b/test/bench/load.ts
@@ -3,8 +3,9 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * `npm run bench`: open-loop load (arrivals by schedule, so that waiting counts) against a local system, each case beside
- * the plain baseline in the same run: round robin straight to the targets, no admission. Results in docs/bench.json.
+ * `npm run bench [-- PRESET [WORD]]`: open-loop load against a local system. Latency is measured from the scheduled arrival,
+ * so that it includes queueing at the client. Each case also runs against a baseline: round robin directly to the targets,
+ * without admission control. Results are written to docs/bench.json unless WORD selects cases by name.
  */
 
 import { writeFileSync } from 'node:fs';
@@ -13,7 +14,7 @@
 import { LocalSystem } from '../local/localSystem.js';
 import { PRESETS } from '../local/presets.js';
 
-const REPORT = 'docs/bench.json';
+const REPORT_FILE = 'docs/bench.json';
 const WORK_MS = 100;
 const DEADLINE_MS = 1000;
 const CASE_MS = 5000;
@@ -21,21 +22,21 @@
 const STATUS_OK = 200;
 const SLOW_FACTOR = 10;
 
-/** One case. */
+/** One benchmark case. */
 interface LoadCase {
 	readonly name: string;
-	/** Offered load as a multiple of what the slots can do. */
-	readonly load: number;
-	/** Groups with their part of the load. */
+	/** Offered load as a multiple of the capacity of all slots. */
+	readonly loadFactor: number;
+	/** Groups with their fractions of the load. */
 	readonly groups: readonly { readonly name: string; readonly part: number }[];
 	readonly hasSlowTarget?: boolean;
 }
 
-/** What one group saw. */
+/** Results of one group. The fields are written to the report. */
 interface GroupResult {
 	readonly group: string;
 	readonly sent: number;
-	/** Whole answers within the deadline. */
+	/** Requests served within the deadline. */
 	readonly useful: number;
 	readonly refused: number;
 	readonly refusalMedianMs: number;
@@ -53,68 +54,68 @@
 	readonly refusal: Histogram;
 }
 
-/** Sends one request; resolves with whether it was answered by a target. */
+/** Sends one request; resolves to whether it was served with status 200. */
 type Sender = (group: string, index: number) => Promise<boolean>;
 
 const agent = new Agent({ connections: 400, pipelining: 1 });
 const preset = PRESETS[(process.argv[2] ?? 'refund') as keyof typeof PRESETS];
 const service = preset.services[0]!;
-const [first, second] = preset.groups;
-const even = [{ name: first!.name, part: 1 }];
+const [firstGroup, secondGroup] = preset.groups;
+const singleGroup = [{ name: firstGroup!.name, part: 1 }];
 const CASES: readonly LoadCase[] = [
-	{ name: 'steady 50 %', load: 0.5, groups: even },
-	{ name: 'steady 70 %', load: 0.7, groups: even },
-	{ name: 'steady 70 %, one target 10 times slower', load: 0.7, groups: even, hasSlowTarget: true },
-	{ name: 'steady 80 %', load: 0.8, groups: even },
-	{ name: 'steady 95 %', load: 0.95, groups: even },
-	{ name: 'overload 2 times', load: 2, groups: even },
-	{ name: 'overload 5 times', load: 5, groups: even },
+	{ name: 'steady 50 %', loadFactor: 0.5, groups: singleGroup },
+	{ name: 'steady 70 %', loadFactor: 0.7, groups: singleGroup },
+	{ name: 'steady 70 %, one target 10 times slower', loadFactor: 0.7, groups: singleGroup, hasSlowTarget: true },
+	{ name: 'steady 80 %', loadFactor: 0.8, groups: singleGroup },
+	{ name: 'steady 95 %', loadFactor: 0.95, groups: singleGroup },
+	{ name: 'overload 2 times', loadFactor: 2, groups: singleGroup },
+	{ name: 'overload 5 times', loadFactor: 5, groups: singleGroup },
 	{
 		name: 'two groups, each alone would fill all slots',
-		load: 2,
+		loadFactor: 2,
 		groups: [
-			{ name: first!.name, part: 0.5 },
-			{ name: second!.name, part: 0.5 }
+			{ name: firstGroup!.name, part: 0.5 },
+			{ name: secondGroup!.name, part: 0.5 }
 		]
 	}
 ];
 
-function newTally(): Tally {
+function createTally(): Tally {
 	return { sent: 0, useful: 0, refused: 0, lastUsefulAt: 0, latency: build(), refusal: build() };
 }
 
-/** Results by group, and the time from the first arrival until the last useful answer. */
+/** Results by group, and the time from the first arrival to the last useful response, at least the duration of the case. */
 interface LoadResult {
 	readonly groups: readonly GroupResult[];
 	readonly spanMs: number;
 }
 
 async function runLoad(loadCase: LoadCase, perSecond: number, send: Sender): Promise<LoadResult> {
-	const tallies = loadCase.groups.map(newTally);
+	const tallies = loadCase.groups.map(createTally);
 	const total = Math.round((perSecond * CASE_MS) / 1000);
 	const startedAt = performance.now();
 	const pending: Promise<void>[] = [];
 	for (let i = 0; i < total;) {
-		const due = Math.min(total, Math.floor(((performance.now() - startedAt) * perSecond) / 1000));
-		for (; i < due; i++) {
+		const dueCount = Math.min(total, Math.floor(((performance.now() - startedAt) * perSecond) / 1000));
+		for (; i < dueCount; i++) {
 			const g = i % loadCase.groups.length;
-			const dueAt = startedAt + (i * 1000) / perSecond;
-			pending.push(sendOne(tallies[g]!, dueAt, send, loadCase.groups[g]!.name, i));
+			const scheduledAt = startedAt + (i * 1000) / perSecond;
+			pending.push(sendOne(tallies[g]!, scheduledAt, send, loadCase.groups[g]!.name, i));
 		}
 		await new Promise(resolve => setTimeout(resolve, 1));
 	}
 	await Promise.all(pending);
-	const groups = loadCase.groups.map((group, g) => toResult(group.name, tallies[g]!));
+	const groups = loadCase.groups.map((group, g) => toGroupResult(group.name, tallies[g]!));
 	const lastUsefulAt = Math.max(...tallies.map(tally => tally.lastUsefulAt));
 	return { groups, spanMs: Math.max(CASE_MS, lastUsefulAt - startedAt) };
 }
 
-async function sendOne(tally: Tally, dueAt: number, send: Sender, group: string, index: number): Promise<void> {
+async function sendOne(tally: Tally, scheduledAt: number, send: Sender, group: string, index: number): Promise<void> {
 	tally.sent++;
-	const isAnswered = await send(group, index).catch(() => false);
-	const ms = performance.now() - dueAt;
+	const isServed = await send(group, index).catch(() => false);
+	const ms = performance.now() - scheduledAt;
 	const micros = Math.max(1, Math.round(ms * 1000));
-	if (!isAnswered) {
+	if (!isServed) {
 		tally.refused++;
 		tally.refusal.recordValue(micros);
 		return;
@@ -126,23 +127,23 @@
 	tally.latency.recordValue(micros);
 }
 
-function toResult(group: string, tally: Tally): GroupResult {
-	const at = (histogram: Histogram, percentile: number): number =>
+function toGroupResult(group: string, tally: Tally): GroupResult {
+	const percentileMs = (histogram: Histogram, percentile: number): number =>
 		Math.round(histogram.getValueAtPercentile(percentile) / 10) / 100;
 	return {
 		group,
 		sent: tally.sent,
 		useful: tally.useful,
 		refused: tally.refused,
-		refusalMedianMs: at(tally.refusal, 50),
-		p50Ms: at(tally.latency, 50),
-		p99Ms: at(tally.latency, 99),
-		p999Ms: at(tally.latency, 99.9)
+		refusalMedianMs: percentileMs(tally.refusal, 50),
+		p50Ms: percentileMs(tally.latency, 50),
+		p99Ms: percentileMs(tally.latency, 99),
+		p999Ms: percentileMs(tally.latency, 99.9)
 	};
 }
 
-/** By way of the system: regions evenly, as look-ups would send callers. */
-function throughSystem(system: LocalSystem): Sender {
+/** Sends requests through the entry instances, distributed evenly over the regions. */
+function createSystemSender(system: LocalSystem): Sender {
 	return async (group, index) => {
 		const region = preset.regions[index % preset.regions.length]!;
 		const entries = system.entries.filter(entry => entry.region === region);
@@ -156,8 +157,8 @@
 	};
 }
 
-/** The baseline: round robin straight to the targets. */
-function straight(system: LocalSystem): Sender {
+/** Sends requests directly to the targets, round robin. */
+function createBaselineSender(system: LocalSystem): Sender {
 	const targets = system.targets.filter(target => target.service === service.name);
 	return async (group, index) => {
 		const response = await request(`${targets[index % targets.length]!.url}/bench?workMs=${WORK_MS}`, {
@@ -186,16 +187,16 @@
 		for (const loadCase of CASES.filter(item => item.name.includes(process.argv[3] ?? ''))) {
 			await setSlowTarget(system, loadCase.hasSlowTarget ? SLOW_FACTOR : 1);
 			for (const policy of ['shelffield', 'baseline'] as const) {
-				const send = policy === 'shelffield' ? throughSystem(system) : straight(system);
-				const before = await system.journals();
-				const { groups, spanMs } = await runLoad(loadCase, capacity * loadCase.load, send);
+				const send = policy === 'shelffield' ? createSystemSender(system) : createBaselineSender(system);
+				const journalsBefore = await system.journals();
+				const { groups, spanMs } = await runLoad(loadCase, capacity * loadCase.loadFactor, send);
 				const journals = await system.journals();
-				const overSlots = journals.reduce((sum, item, i) => sum + item.overSlots - before[i]!.overSlots, 0);
+				const overSlots = journals.reduce((sum, item, i) => sum + item.overSlots - journalsBefore[i]!.overSlots, 0);
 				const useful = groups.reduce((sum, group) => sum + group.useful, 0);
-				// Under overload the slots go on working after the last arrival; that time counts too.
-				const busyMs = loadCase.load > 1 ? spanMs : CASE_MS;
-				const possible = Math.min(1, loadCase.load) * capacity * (busyMs / 1000);
-				const usefulPart = Math.round((useful / possible) * 1000) / 1000;
+				// Under overload, slots still process queued requests after the last arrival; this time counts as well.
+				const busyMs = loadCase.loadFactor > 1 ? spanMs : CASE_MS;
+				const maxUseful = Math.min(1, loadCase.loadFactor) * capacity * (busyMs / 1000);
+				const usefulPart = Math.round((useful / maxUseful) * 1000) / 1000;
 				const result = { case: loadCase.name, policy, usefulPart, overSlots, groups };
 				results.push(result);
 				process.stdout.write(`${JSON.stringify(result)}\n`);
@@ -209,7 +210,7 @@
 	if (process.argv[3] !== undefined) {
 		return;
 	}
-	writeFileSync(REPORT, `${JSON.stringify({ preset: process.argv[2] ?? 'refund', results }, undefined, 1)}\n`);
+	writeFileSync(REPORT_FILE, `${JSON.stringify({ preset: process.argv[2] ?? 'refund', results }, undefined, 1)}\n`);
 }
 
 await main();
--- a/test/bench/stubSubscribers.ts
+++ b/test/bench/stubSubscribers.ts
@@ -3,9 +3,10 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Many stub entry instances in one process: each keeps a session with control and reports like a real one.
+ * Simulates many entry instances in one process. Each keeps a session with a control instance and sends reports.
  *
- * Started with `{controls, count, seconds}`; prints one JSON line with what it counted.
+ * The first argument is a `StubOptions` object as JSON. Prints its `StubCounts` as one JSON line when its parent sends a
+ * message, and exits.
  */
 
 import { encode } from '@msgpack/msgpack';
@@ -14,7 +15,7 @@
 import { sessionMethod, type SessionUpdate } from '../../src/plugins/configuration/common/configurationSession.js';
 import type { EntryReport } from '../../src/plugins/membership/common/entryReport.js';
 
-/** What the process is started with. */
+/** Options of the process. */
 export interface StubOptions {
 	readonly controls: readonly string[];
 	readonly count: number;
@@ -22,19 +23,19 @@
 	readonly reportIntervalMs: number;
 }
 
-/** What it counted. */
+/** Totals over all stubs. */
 export interface StubCounts {
 	readonly bytesDown: number;
 	readonly bytesUp: number;
 	readonly updates: number;
-	/** For each revision, milliseconds from the first stub that had it to the last. */
+	/** For each revision that reached all stubs, the time from the first stub to the last, in milliseconds. */
 	readonly spreadMs: number[];
 	readonly slots: number;
 }
 
 const PORT_BASE = 20000;
-const REGIONS = 5;
-const HALLS = 13;
+const REGION_COUNT = 5;
+const HALL_COUNT = 13;
 
 const options = JSON.parse(process.argv[2]!) as StubOptions;
 const settings: ISettingsService = {
@@ -50,14 +51,14 @@
 let bytesDown = 0;
 let bytesUp = 0;
 let updates = 0;
-const seen = new Map<number, { first: number; last: number; count: number }>();
+const revisionArrivals = new Map<number, { first: number; last: number; count: number }>();
 
-function report(i: number, revision: number): EntryReport {
+function createReport(i: number, revision: number): EntryReport {
 	return {
 		identity: {
 			instance: `stub-${i}`,
-			hall: `hall-${i % HALLS}`,
-			region: `region-${i % REGIONS}`,
+			hall: `hall-${i % HALL_COUNT}`,
+			region: `region-${i % REGION_COUNT}`,
 			url: `http://127.0.0.1:${PORT_BASE + i}`,
 			peerAddress: `127.0.0.1:${PORT_BASE + i}`,
 			incarnation: '0'
@@ -72,19 +73,19 @@
 	};
 }
 
-function noteRevision(revision: number): void {
+function recordRevision(revision: number): void {
 	const now = performance.now();
-	const entry = seen.get(revision) ?? { first: now, last: now, count: 0 };
-	entry.last = now;
-	entry.count++;
-	seen.set(revision, entry);
+	const arrival = revisionArrivals.get(revision) ?? { first: now, last: now, count: 0 };
+	arrival.last = now;
+	arrival.count++;
+	revisionArrivals.set(revision, arrival);
 }
 
-function open(i: number): void {
+function openSession(i: number): void {
 	let revision = 0;
 	const stream = wire.openStream(options.controls[i % options.controls.length]!, sessionMethod);
 	const send = (): void => {
-		const message = { revision, report: report(i, revision) };
+		const message = { revision, report: createReport(i, revision) };
 		bytesUp += encode(message).byteLength;
 		stream.write(message);
 	};
@@ -94,7 +95,7 @@
 		const latest = update.snapshot?.revision ?? update.deltas?.at(-1)?.revision ?? revision;
 		if (latest > revision) {
 			revision = latest;
-			noteRevision(revision);
+			recordRevision(revision);
 			send();
 		}
 	});
@@ -106,11 +107,11 @@
 }
 
 for (let i = 0; i < options.count; i++) {
-	open(i);
+	openSession(i);
 }
 process.stdout.write(`${JSON.stringify({ message: 'ready' })}\n`);
 process.once('message', () => {
-	const spreads = [...seen.values()]
+	const spreads = [...revisionArrivals.values()]
 		.filter(entry => entry.count >= options.count)
 		.map(entry => entry.last - entry.first);
 	const counts: StubCounts = { bytesDown, bytesUp, updates, spreadMs: spreads, slots: options.count * 12 };
