--- a/src/base/suspensionWatch.ts
+++ b/src/base/suspensionDetector.ts
@@ -13,9 +13,9 @@
 const MAX_CLOCK_DRIFT_MS = 50;
 
 /** Detects suspensions of the machine. */
-export interface ISuspensionWatch {
+export interface ISuspensionDetector {
 	/** Returns whether the machine may have been suspended since the previous call, or since creation for the first call. */
-	takeLeap(): boolean;
+	detectSuspension(): boolean;
 }
 
 /**
@@ -23,7 +23,7 @@
  * a suspension, which ends a lease early and is safe. A suspension during which the wall clock is set back by the same
  * amount is not detected.
  */
-export class SuspensionWatch implements ISuspensionWatch {
+export class SuspensionDetector implements ISuspensionDetector {
 	private _lastMonotonicMs: Millis;
 	private _lastWallMs: number;
 
@@ -32,7 +32,7 @@
 		this._lastWallMs = _clock.wallNow();
 	}
 
-	takeLeap(): boolean {
+	detectSuspension(): boolean {
 		const elapsedMonotonicMs = this._clock.now() - this._lastMonotonicMs;
 		const elapsedWallMs = this._clock.wallNow() - this._lastWallMs;
 		this._lastMonotonicMs += elapsedMonotonicMs;
--- a/src/base/test/suspensionWatch.test.ts
+++ b/src/base/test/suspensionDetector.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { IClock } from '../clock.js';
-import { SuspensionWatch } from '../suspensionWatch.js';
+import { SuspensionDetector } from '../suspensionDetector.js';
 
 /** Monotonic and wall clock that a test advances. */
 class ManualClock implements IClock {
@@ -30,20 +30,20 @@
 
 test('a jump of the wall clock alone is reported once', () => {
 	const clock = new ManualClock();
-	const watch = new SuspensionWatch(clock);
+	const watch = new SuspensionDetector(clock);
 	clock.advance(10000, 10040);
-	assert.equal(watch.takeLeap(), false);
+	assert.equal(watch.detectSuspension(), false);
 	clock.advance(20, 3020);
-	assert.equal(watch.takeLeap(), true);
+	assert.equal(watch.detectSuspension(), true);
 	clock.advance(1000);
-	assert.equal(watch.takeLeap(), false);
+	assert.equal(watch.detectSuspension(), false);
 });
 
 test('setting the wall clock back is not reported, setting it forward again is', () => {
 	const clock = new ManualClock();
-	const watch = new SuspensionWatch(clock);
+	const watch = new SuspensionDetector(clock);
 	clock.advance(1000, -1000);
-	assert.equal(watch.takeLeap(), false);
+	assert.equal(watch.detectSuspension(), false);
 	clock.advance(1000, 3000);
-	assert.equal(watch.takeLeap(), true);
+	assert.equal(watch.detectSuspension(), true);
 });
--- a/src/base/verdict.ts
+++ b/src/base/verdict.ts
@@ -31,9 +31,9 @@
 	NoConfiguration = 'no-configuration',
 	NoCapacity = 'no-capacity',
 	/** All eligible targets requested backoff. */
-	TargetsAtRest = 'targets-at-rest',
+	TargetsBackingOff = 'targets-at-rest',
 	/** All eligible targets are at their reported rate limits or requested backoff. */
-	TargetsAtLimit = 'targets-at-limit',
+	TargetsRateLimited = 'targets-at-limit',
 	LinkFull = 'link-full',
 	QueueFull = 'queue-full',
 	DeadlinePassed = 'deadline-passed',
@@ -43,7 +43,7 @@
 	OrderKeyConflict = 'order-key-conflict',
 	OrderInProgress = 'order-in-progress',
 	OrderOutcomeUnknown = 'order-outcome-unknown',
-	AnswerNotKept = 'answer-not-kept',
+	ResponseNotStored = 'answer-not-kept',
 	TargetFailed = 'target-failed',
 	Cancelled = 'cancelled',
 	Draining = 'draining'
--- a/src/kernel/node/processPages.ts
+++ b/src/kernel/node/adminEndpoints.ts
@@ -8,7 +8,7 @@
 import type { HttpHandler } from './httpListener.js';
 
 /** An HTTP endpoint. */
-export interface ProcessPage {
+export interface AdminEndpoint {
 	readonly method: 'GET' | 'DELETE';
 	/** Path pattern; parameters start with a colon, such as `/items/:id`. */
 	readonly pattern: string;
@@ -16,25 +16,25 @@
 }
 
 /** The admin endpoints of this process. */
-export interface IProcessPages {
+export interface IAdminEndpoints {
 	/** All endpoints added so far. */
-	readonly all: readonly ProcessPage[];
+	readonly all: readonly AdminEndpoint[];
 	/** Adds an endpoint; must be called before the metrics listener starts. */
-	add(endpoint: ProcessPage): void;
+	add(endpoint: AdminEndpoint): void;
 }
 
 /** Identifier of the admin endpoint service. */
-export const IProcessPages = createServiceIdentifier<IProcessPages>('adminEndpoints');
+export const IAdminEndpoints = createServiceIdentifier<IAdminEndpoints>('adminEndpoints');
 
 /** Collects the endpoints until the metrics listener starts. */
-export class ProcessPages implements IProcessPages {
-	private readonly _endpoints: ProcessPage[] = [];
+export class AdminEndpoints implements IAdminEndpoints {
+	private readonly _endpoints: AdminEndpoint[] = [];
 
-	get all(): readonly ProcessPage[] {
+	get all(): readonly AdminEndpoint[] {
 		return this._endpoints;
 	}
 
-	add(endpoint: ProcessPage): void {
+	add(endpoint: AdminEndpoint): void {
 		this._endpoints.push(endpoint);
 	}
 }
--- a/src/kernel/node/idleConnections.ts
+++ b/src/kernel/node/connectionTracker.ts
@@ -12,7 +12,7 @@
 import { Server as TlsServer } from 'node:tls';
 
 /** Tracks the connections of a server and whether a response is in progress on them. */
-export class IdleConnections {
+export class ConnectionTracker {
 	private readonly _openSockets = new Set<Socket>();
 	private readonly _busySockets = new Set<Socket>();
 
@@ -29,13 +29,13 @@
 	}
 
 	/** Stops accepting connections; existing ones stay open, including idle ones. */
-	stopListening(): void {
+	stopAccepting(): void {
 		// `close` of the HTTP server would also call `closeIdleConnections`.
 		TcpServer.prototype.close.call(this._server);
 	}
 
 	/** Closes the connections that have no response in progress. */
-	close(): void {
+	closeIdle(): void {
 		for (const socket of this._openSockets) {
 			if (!this._busySockets.has(socket) && socket.writableLength === 0) {
 				socket.destroy();
--- a/src/kernel/node/grpcTransport.ts
+++ b/src/kernel/node/grpcTransport.ts
@@ -6,11 +6,11 @@
 
 import type { InstantiationService } from '../common/instantiationService.js';
 import { IPeerCalls } from '../common/peerCalls.js';
-import { GrpcPeerWire, IPeerWire } from './peerWire.js';
+import { GrpcPeerTransport, IPeerTransport } from './peerTransport.js';
 
 /** Registers gRPC as the transport of a process. */
 export function provideGrpc(services: InstantiationService): void {
-	const transport = services.createInstance(GrpcPeerWire);
-	services.set(IPeerWire, transport);
+	const transport = services.createInstance(GrpcPeerTransport);
+	services.set(IPeerTransport, transport);
 	services.set(IPeerCalls, transport);
 }
--- a/src/kernel/node/httpListener.ts
+++ b/src/kernel/node/httpListener.ts
@@ -9,7 +9,7 @@
 import { readFileSync } from 'node:fs';
 import polka from 'polka';
 import { Disposable, toDisposable } from '../../base/disposable.js';
-import { IdleConnections } from './idleConnections.js';
+import { ConnectionTracker } from './connectionTracker.js';
 import type { IMetricsService } from './metricsService.js';
 import { BodyTooLargeError } from './bodyTooLargeError.js';
 
@@ -51,7 +51,7 @@
 /** An HTTP or HTTPS listener. */
 export class HttpListener extends Disposable {
 	private readonly _server: Server;
-	private readonly _connections: IdleConnections;
+	private readonly _connections: ConnectionTracker;
 	private readonly _app: polka.Polka;
 	private _inFlight = 0;
 	private _isDraining = false;
@@ -63,7 +63,7 @@
 		this._server = tls
 			? createTlsServer({ ...limits, cert: readFileSync(tls.certificateFile), key: readFileSync(tls.keyFile) })
 			: createServer(limits);
-		this._connections = new IdleConnections(this._server);
+		this._connections = new ConnectionTracker(this._server);
 		this._server.headersTimeout = HEADERS_TIMEOUT_MS;
 		this._server.requestTimeout = REQUEST_TIMEOUT_MS;
 		this._server.maxConnections = _options.maxConnections;
@@ -114,13 +114,13 @@
 	}
 
 	/** Stops accepting connections and resolves when all responses are closed. */
-	async finish(): Promise<void> {
+	async drain(): Promise<void> {
 		this._isDraining = true;
-		this._connections.stopListening();
-		this._connections.close();
+		this._connections.stopAccepting();
+		this._connections.closeIdle();
 		while (this._inFlight > 0) {
 			await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_MS));
-			this._connections.close();
+			this._connections.closeIdle();
 		}
 	}
 
--- a/src/kernel/node/metricsListener.ts
+++ b/src/kernel/node/metricsListener.ts
@@ -11,7 +11,7 @@
 import { HttpListener } from './httpListener.js';
 import { ILogService } from './logService.js';
 import { IMetricsService } from './metricsService.js';
-import { IProcessPages } from './processPages.js';
+import { IAdminEndpoints } from './adminEndpoints.js';
 import { ISettingsService } from './settingsService.js';
 
 const INSTANCE_KINDS = [ProcessKind.Control, ProcessKind.Entry];
@@ -38,7 +38,7 @@
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IMetricsService metrics: IMetricsService,
-		@IProcessPages private readonly _endpoints: IProcessPages,
+		@IAdminEndpoints private readonly _endpoints: IAdminEndpoints,
 		@ILogService log: ILogService
 	) {
 		super();
--- a/src/kernel/node/peerWire.ts
+++ b/src/kernel/node/peerTransport.ts
@@ -26,7 +26,7 @@
 export type ClientStream<Request, Response> = grpc.ClientDuplexStream<Request, Response>;
 
 /** Transport for calls and streams between the processes of the system. */
-export interface IPeerWire extends IPeerCalls {
+export interface IPeerTransport extends IPeerCalls {
 	/** Registers the handler of a streaming method; must be called before {@link listen}. */
 	handleStream<Q, S>(method: StreamMethod<Q, S>, handler: (stream: ServerStream<Q, S>) => void): void;
 	/** Opens a stream to a peer; connection errors are reported on the stream. */
@@ -34,7 +34,7 @@
 }
 
 /** Identifier of the peer transport. */
-export const IPeerWire = createServiceIdentifier<IPeerWire>('peerTransport');
+export const IPeerTransport = createServiceIdentifier<IPeerTransport>('peerTransport');
 
 function serialize(message: unknown): Buffer {
 	const bytes = encode(message, { ignoreUndefined: true });
@@ -58,7 +58,7 @@
 };
 
 /** Peer transport based on `@grpc/grpc-js`. */
-export class GrpcPeerWire extends Disposable implements IPeerWire {
+export class GrpcPeerTransport extends Disposable implements IPeerTransport {
 	private readonly _server = new grpc.Server(CHANNEL_OPTIONS);
 	private readonly _clients = new Map<string, grpc.Client>();
 	private readonly _tls: TlsSettings;
--- a/src/kernel/node/processHost.ts
+++ b/src/kernel/node/processHost.ts
@@ -13,7 +13,7 @@
 import type { InstanceSettings } from './instanceSettings.js';
 import { createLog, ILogService } from './logService.js';
 import { IMetricsService, MetricsService } from './metricsService.js';
-import { IProcessPages, ProcessPages } from './processPages.js';
+import { IAdminEndpoints, AdminEndpoints } from './adminEndpoints.js';
 import { ISettingsService, formatDefaultSettings, readSettings, SettingsError } from './settingsService.js';
 
 const EXIT_INVALID_SETTINGS = 2;
@@ -34,7 +34,7 @@
 	services.set(ISettingsService, settings);
 	services.set(ILogService, log);
 	services.set(IMetricsService, new MetricsService());
-	services.set(IProcessPages, new ProcessPages());
+	services.set(IAdminEndpoints, new AdminEndpoints());
 	provideTransport(services);
 	return services;
 }
--- a/src/kernel/test/idleConnections.test.ts
+++ b/src/kernel/test/connectionTracker.test.ts
@@ -12,11 +12,11 @@
 import { createServer, type Server } from 'node:http';
 import { type AddressInfo, connect, type Socket } from 'node:net';
 import { after, before, test } from 'node:test';
-import { IdleConnections } from '../node/idleConnections.js';
+import { ConnectionTracker } from '../node/connectionTracker.js';
 
 const LARGE_BYTES = 32 * 1024 * 1024;
 let server: Server;
-let connections: IdleConnections;
+let connections: ConnectionTracker;
 /** Resolves when `response.end` was called for the large response. */
 let responseEnded: Promise<void>;
 
@@ -30,7 +30,7 @@
 			onEnded();
 		}
 	});
-	connections = new IdleConnections(server);
+	connections = new ConnectionTracker(server);
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 });
@@ -54,7 +54,7 @@
 	const busySocket = await sendRequest('/large');
 	busySocket.pause();
 	await responseEnded;
-	connections.close();
+	connections.closeIdle();
 	await once(idleSocket, 'close');
 	let receivedBytes = 0;
 	busySocket.on('data', (chunk: Buffer) => {
--- a/src/plugins/agreement/agreement.plugin.ts
+++ b/src/plugins/agreement/agreement.plugin.ts
@@ -12,12 +12,12 @@
 } from '../../kernel/common/pluginRegistry.js';
 import './node/agreementSettings.js';
 import { IAgreement } from './common/agreement.js';
-import { ILeaderGate } from './common/leaderGate.js';
+import { ILeaderForwarder } from './common/leaderForwarder.js';
 import { AgreementTask } from './node/agreementTask.js';
 import { LeaderForwarder } from './node/leaderForwarder.js';
 
 pluginRegistry.registerSingleton(IAgreement, AgreementTask);
-pluginRegistry.registerSingleton(ILeaderGate, LeaderForwarder);
+pluginRegistry.registerSingleton(ILeaderForwarder, LeaderForwarder);
 
 /** Starts the replica in the foundation phase, before the contributions that depend on it. */
 class AgreementContribution implements IContribution {
--- a/src/plugins/agreement/common/leaderGate.ts
+++ b/src/plugins/agreement/common/leaderForwarder.ts
@@ -14,7 +14,7 @@
 }
 
 /** Registers peer methods that only the leader answers. */
-export interface ILeaderGate {
+export interface ILeaderForwarder {
 	/**
 	 * @param onLeader answers the request on a leader that holds its lease
 	 * @param noLeaderResponse response if no other leader is known, the lease ended meanwhile, or the request was forwarded
@@ -28,4 +28,4 @@
 }
 
 /** Service identifier of the leader forwarder. */
-export const ILeaderGate = createServiceIdentifier<ILeaderGate>('leaderForwarder');
+export const ILeaderForwarder = createServiceIdentifier<ILeaderForwarder>('leaderForwarder');
--- a/src/plugins/agreement/node/agreementTask.ts
+++ b/src/plugins/agreement/node/agreementTask.ts
@@ -8,7 +8,7 @@
 import { Emitter } from '../../../base/event.js';
 import { Mailbox } from '../../../base/mailbox.js';
 import { type Millis, PROCESS_STARTED_AT, systemClock } from '../../../base/clock.js';
-import { SuspensionWatch } from '../../../base/suspensionWatch.js';
+import { SuspensionDetector } from '../../../base/suspensionDetector.js';
 import { IPeerCalls } from '../../../kernel/common/peerCalls.js';
 import {
 	type ControlPeerSettings,
@@ -83,7 +83,7 @@
 	private _core!: AgreementCore;
 	private _identity!: ReplicaIdentity;
 	private _wasLeader = false;
-	private readonly _suspensionDetector = new SuspensionWatch();
+	private readonly _suspensionDetector = new SuspensionDetector();
 	/** Quorum contact before this time does not count for the lease. */
 	private _contactValidFrom: Millis = Number.NEGATIVE_INFINITY;
 
@@ -147,7 +147,7 @@
 	hasLease(): boolean {
 		const now = systemClock.now();
 		// The monotonic clock stops during a suspension, so the lease may seem valid although another leader was elected.
-		if (this._suspensionDetector.takeLeap()) {
+		if (this._suspensionDetector.detectSuspension()) {
 			this._contactValidFrom = now;
 			this._log.warn('machine may have been suspended; lease invalid until the next quorum contact', {
 				task: 'agreement'
--- a/src/plugins/agreement/node/leaderForwarder.ts
+++ b/src/plugins/agreement/node/leaderForwarder.ts
@@ -9,12 +9,12 @@
 import { IPeerCalls } from '../../../kernel/common/peerCalls.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import { IAgreement } from '../common/agreement.js';
-import type { ILeaderGate, LeaderRequest } from '../common/leaderGate.js';
+import type { ILeaderForwarder, LeaderRequest } from '../common/leaderForwarder.js';
 
 const FORWARD_TIMEOUT_MS = 1500;
 
 /** Answers calls if this replica is the leader, and forwards them to the leader otherwise. */
-export class LeaderForwarder implements ILeaderGate {
+export class LeaderForwarder implements ILeaderForwarder {
 	private readonly _controls: ReadonlyMap<string, ControlPeerSettings>;
 
 	constructor(
--- a/src/plugins/callers/node/callerServer.ts
+++ b/src/plugins/callers/node/callerServer.ts
@@ -18,12 +18,12 @@
 import type { InstanceSettings } from '../../../kernel/node/instanceSettings.js';
 import { ILogService } from '../../../kernel/node/logService.js';
 import { IMetricsService } from '../../../kernel/node/metricsService.js';
-import { IPeerWire } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import { IBurnRecorder } from '../../burn/common/burnRecorder.js';
 import { IEntryConfiguration } from '../../configuration/common/entryConfiguration.js';
-import { type CarriedRequest, IDispatch } from '../../dispatch/common/dispatch.js';
-import { IAtMostOnceDispatch } from '../../once/common/onceOrders.js';
+import { type DispatchRequest, IDispatch } from '../../dispatch/common/dispatch.js';
+import { IAtMostOnceDispatch } from '../../once/common/atMostOnceDispatch.js';
 import { ISteering } from '../../steering/common/steering.js';
 import { headersForTarget, isIdempotentMethod, readCallerHeaders } from '../common/callerHeaders.js';
 import { HttpResponseSink } from './httpResponseSink.js';
@@ -76,7 +76,7 @@
 		@ISettingsService settings: ISettingsService,
 		@IMetricsService metrics: IMetricsService,
 		@ILogService private readonly _log: ILogService,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerTransport private readonly _wire: IPeerTransport,
 		@IEntryConfiguration private readonly _configuration: IEntryConfiguration,
 		@ISteering private readonly _steering: ISteering,
 		@IDispatch private readonly _dispatch: IDispatch,
@@ -142,7 +142,7 @@
 		this._isDraining = true;
 		this._configuration.reportNow();
 		await new Promise(resolve => setTimeout(resolve, this._steering.lookupTtlMs));
-		await this._listener.finish();
+		await this._listener.drain();
 	}
 
 	private async _waitUntilReady(): Promise<void> {
@@ -248,7 +248,11 @@
 		sendRequestError(response, requestError, requestId);
 	}
 
-	private async _readRequest(request: HttpRequest, response: HttpResponse, requestId: string): Promise<CarriedRequest> {
+	private async _readRequest(
+		request: HttpRequest,
+		response: HttpResponse,
+		requestId: string
+	): Promise<DispatchRequest> {
 		const arrivedAt = systemClock.now();
 		const [, service, path] = SERVICE_PATH_PATTERN.exec(request.url!) ?? [];
 		if (!service || !this._dispatch.hasService(service)) {
--- a/src/plugins/callers/node/httpResponseSink.ts
+++ b/src/plugins/callers/node/httpResponseSink.ts
@@ -32,7 +32,7 @@
 		this._response.end();
 	}
 
-	breakOff(): void {
+	abort(): void {
 		this._response.destroy();
 	}
 }
--- a/src/plugins/configuration/common/configuration.ts
+++ b/src/plugins/configuration/common/configuration.ts
@@ -124,7 +124,7 @@
 		return this._placements.get(placementKey(group, home)) ?? { group, home, ranges: [] };
 	}
 
-	isLeaving(scope: DrainScope, name: string): boolean {
+	isDrained(scope: DrainScope, name: string): boolean {
 		return this._drained.has(drainedKey(scope, name));
 	}
 
--- a/src/plugins/configuration/common/controlState.ts
+++ b/src/plugins/configuration/common/controlState.ts
@@ -94,7 +94,7 @@
 	}
 
 	/** Returns the result of an earlier request with the same key, or a refusal if its number was used with other content. */
-	storedAnswer(request: OperatorRequestKey): ControlResult | undefined {
+	storedResult(request: OperatorRequestKey): ControlResult | undefined {
 		const stored = this._results.get(`${request.operator}#${request.number}`);
 		if (!stored || stored.contentDigest === request.contentDigest) {
 			return stored?.result;
@@ -106,7 +106,7 @@
 	}
 
 	/** Returns those of the given parts of the configuration that changed after a revision. */
-	changedSince(touches: readonly string[], revision: Revision): string[] {
+	partsChangedSince(touches: readonly string[], revision: Revision): string[] {
 		return touches.filter(part => (this._lastChangeByPart.get(part) ?? 0) > revision);
 	}
 
@@ -156,7 +156,7 @@
 	}
 
 	private _applyOnce(request: OperatorRequestKey, run: () => ControlResult): ControlResult {
-		const earlier = this.storedAnswer(request);
+		const earlier = this.storedResult(request);
 		if (earlier) {
 			return earlier;
 		}
@@ -184,7 +184,7 @@
 		if (record.status !== PlanStatus.Proposed) {
 			return refuse(RefusalCode.WrongState, `plan '${command.planId}' is ${record.status}`);
 		}
-		const changed = this.changedSince(record.plan.touches, record.plan.baseRevision);
+		const changed = this.partsChangedSince(record.plan.touches, record.plan.baseRevision);
 		if (changed.length > 0) {
 			const message = `changed since revision ${record.plan.baseRevision}: ${changed.join(', ')}`;
 			return { ...refuse(RefusalCode.BaseMoved, message), changed };
--- a/src/plugins/configuration/common/entryConfiguration.ts
+++ b/src/plugins/configuration/common/entryConfiguration.ts
@@ -30,7 +30,7 @@
 	 */
 	readonly isUsable: boolean;
 	/** Milliseconds since the control instances last had contact with a leader, as far as known here. */
-	controlContactAge(): number;
+	controlContactAgeMs(): number;
 	readonly identity: EntryIdentity;
 	/** Registers a callback whose fields are merged into each report to the control instance. */
 	addReportPart(part: () => ReportPart): void;
--- a/src/plugins/configuration/common/placementBuckets.ts
+++ b/src/plugins/configuration/common/placementBuckets.ts
@@ -38,7 +38,7 @@
 }
 
 /** Returns the number of buckets that differ between two placements of the same clients. */
-export function countMoved(before: Placement, after: Placement): number {
+export function countMovedBuckets(before: Placement, after: Placement): number {
 	const oldRegions = expandPlacement(before);
 	return expandPlacement(after).filter((region, bucket) => region !== oldRegions[bucket]).length;
 }
--- a/src/plugins/configuration/node/configurationPublisher.ts
+++ b/src/plugins/configuration/node/configurationPublisher.ts
@@ -6,7 +6,7 @@
 
 import { type Millis, systemClock } from '../../../base/clock.js';
 import { Disposable, toDisposable } from '../../../base/disposable.js';
-import { IPeerWire, type ServerStream } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport, type ServerStream } from '../../../kernel/node/peerTransport.js';
 import { IAgreement } from '../../agreement/common/agreement.js';
 import { IEntryMembership } from '../../membership/common/entryMembership.js';
 import {
@@ -51,7 +51,7 @@
 	};
 
 	constructor(
-		@IPeerWire wire: IPeerWire,
+		@IPeerTransport wire: IPeerTransport,
 		@IAgreement private readonly _agreement: IAgreement,
 		@IControlStateService private readonly _control: IControlStateService,
 		@IEntryMembership private readonly _membership: IEntryMembership
@@ -73,7 +73,7 @@
 		const session: Session = { stream, revision: 0, region: '', loadsSentAt: 0, isOpen: false };
 		this._sessions.add(session);
 		stream.on('data', (message: SessionReport) => {
-			this._membership.accept(message.report);
+			this._membership.addReport(message.report);
 			if (!session.isOpen) {
 				session.isOpen = true;
 				session.revision = message.revision;
--- a/src/plugins/configuration/node/entryConfigurationTask.ts
+++ b/src/plugins/configuration/node/entryConfigurationTask.ts
@@ -11,7 +11,7 @@
 import { addressSchema, settingsRegistry } from '../../../kernel/common/settingsRegistry.js';
 import { type ControlPeerSettings, type InstanceSettings } from '../../../kernel/node/instanceSettings.js';
 import { ILogService } from '../../../kernel/node/logService.js';
-import { type ClientStream, IPeerWire } from '../../../kernel/node/peerWire.js';
+import { type ClientStream, IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import {
 	applyDirectoryDelta,
@@ -78,7 +78,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerTransport private readonly _wire: IPeerTransport,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
@@ -118,7 +118,7 @@
 		return this._identity;
 	}
 
-	controlContactAge(): number {
+	controlContactAgeMs(): number {
 		return systemClock.now() - this._lastLeaderContactAt;
 	}
 
--- a/src/plugins/dispatch/common/dispatch.ts
+++ b/src/plugins/dispatch/common/dispatch.ts
@@ -9,7 +9,7 @@
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
 
 /** A validated request of a caller. */
-export interface CarriedRequest {
+export interface DispatchRequest {
 	readonly requestId: string;
 	readonly service: string;
 	readonly group: string;
@@ -44,7 +44,7 @@
 	/** Ends a complete response. */
 	end(): void;
 	/** Ends a response that was interrupted after its start, so that its reader can tell it from a complete one. */
-	breakOff(): void;
+	abort(): void;
 }
 
 /** Result of a request that a target responded to. */
@@ -72,7 +72,7 @@
 	 * Sends a request to a target and streams the response into the sink.
 	 * @throws RequestError if the request was refused, cancelled or failed; the sink may have been started by then
 	 */
-	dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult>;
+	dispatch(request: DispatchRequest, sink: ResponseSink): Promise<DispatchResult>;
 }
 
 /** Service identifier. */
--- a/src/plugins/dispatch/common/forwardingSink.ts
+++ b/src/plugins/dispatch/common/forwardingSink.ts
@@ -26,8 +26,8 @@
 		this._sink.end();
 	}
 
-	breakOff(): void {
-		this._sink.breakOff();
+	abort(): void {
+		this._sink.abort();
 	}
 }
 
--- a/src/plugins/dispatch/node/dispatchService.ts
+++ b/src/plugins/dispatch/node/dispatchService.ts
@@ -11,11 +11,11 @@
 import { integerSchema, numberSchema, settingsRegistry, urlSchema } from '../../../kernel/common/settingsRegistry.js';
 import type { InstanceSettings } from '../../../kernel/node/instanceSettings.js';
 import { ILogService } from '../../../kernel/node/logService.js';
-import { IPeerWire } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService, registerCrossCheck } from '../../../kernel/node/settingsService.js';
 import { DrainScope } from '../../configuration/common/configuration.js';
 import { IEntryConfiguration, type ReportPart } from '../../configuration/common/entryConfiguration.js';
-import type { CarriedRequest, DispatchResult, IDispatch, ResponseSink } from '../common/dispatch.js';
+import type { DispatchRequest, DispatchResult, IDispatch, ResponseSink } from '../common/dispatch.js';
 import { StartTrackingSink } from '../common/forwardingSink.js';
 import { durationMsSchema } from '../common/target.js';
 import type { DirectoryEntry } from '../../membership/common/entryReport.js';
@@ -116,7 +116,7 @@
 		@ISettingsService settings: ISettingsService,
 		@IEntryConfiguration private readonly _configuration: IEntryConfiguration,
 		@ITargetOwnership private readonly _ownership: ITargetOwnership,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerTransport private readonly _wire: IPeerTransport,
 		@ILogService log: ILogService
 	) {
 		super();
@@ -192,7 +192,7 @@
 		return this._settings.get(service)!.deadlineMs;
 	}
 
-	async dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
+	async dispatch(request: DispatchRequest, sink: ResponseSink): Promise<DispatchResult> {
 		const dispatcher = this._getDispatcher(request.service);
 		if (!dispatcher.hasFreeSlot()) {
 			const mayQueue = dispatcher.capacity().slots === 0;
@@ -218,7 +218,7 @@
 
 	/** Tries other instances in turn; returns undefined if none accepted the request and it can still be sent elsewhere. */
 	private async _trySpill(
-		request: CarriedRequest,
+		request: DispatchRequest,
 		sink: ResponseSink,
 		mayQueue: boolean
 	): Promise<DispatchResult | undefined> {
@@ -248,7 +248,11 @@
 	}
 
 	/** Dispatches a request of another instance; resolves with the name of the target. */
-	private async _handleSpilledRequest(request: CarriedRequest, sink: ResponseSink, mayQueue: boolean): Promise<string> {
+	private async _handleSpilledRequest(
+		request: DispatchRequest,
+		sink: ResponseSink,
+		mayQueue: boolean
+	): Promise<string> {
 		const dispatcher = this._getDispatcher(request.service);
 		if (this._isDraining || (!mayQueue && !dispatcher.hasFreeSlot())) {
 			throw new RequestError('not-run', RefusalReason.NoCapacity, 503, 'no free slot at this instance');
@@ -274,7 +278,7 @@
 		const table = this._configuration.table;
 		return (
 			table !== undefined &&
-			(table.isLeaving(DrainScope.Target, target) || table.isLeaving(DrainScope.Hall, this._hall))
+			(table.isDrained(DrainScope.Target, target) || table.isDrained(DrainScope.Hall, this._hall))
 		);
 	}
 
--- a/src/plugins/dispatch/node/pendingRequest.ts
+++ b/src/plugins/dispatch/node/pendingRequest.ts
@@ -7,7 +7,7 @@
 import { systemClock } from '../../../base/clock.js';
 import type { IDisposable } from '../../../base/disposable.js';
 import { RefusalReason, RequestError } from '../../../base/verdict.js';
-import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
+import type { DispatchRequest, ResponseSink } from '../common/dispatch.js';
 import { StartTrackingSink } from '../common/forwardingSink.js';
 
 /** A request that is queued or running; cancelled when its deadline passes or its caller disconnects. */
@@ -20,7 +20,7 @@
 	/** Rejects with a `RequestError` when the request is cancelled; never resolves. */
 	readonly cancellation = new Promise<never>((_resolve, reject) => (this._reject = reject));
 
-	constructor(private readonly _request: CarriedRequest) {
+	constructor(private readonly _request: DispatchRequest) {
 		this.cancellation.catch(() => undefined);
 		const leftMs = Math.max(0, _request.deadline - systemClock.now());
 		this._timer = setTimeout(() => this._cancel(RefusalReason.DeadlinePassed, 504), leftMs);
--- a/src/plugins/dispatch/node/serviceDispatcher.ts
+++ b/src/plugins/dispatch/node/serviceDispatcher.ts
@@ -11,7 +11,7 @@
 import { AdmissionControl } from '../../admission/common/admissionControl.js';
 import { FairQueue, type FairQueueOptions } from '../../admission/common/fairQueue.js';
 import { RetryBudget } from '../../admission/common/retryBudget.js';
-import type { CarriedRequest, DispatchResult, ResponseSink } from '../common/dispatch.js';
+import type { DispatchRequest, DispatchResult, ResponseSink } from '../common/dispatch.js';
 import type { ListedTarget } from '../common/target.js';
 import { TargetChooser, TargetSlots, type TargetTiming } from '../common/targetSlots.js';
 import { type AttemptOutcome, TargetConnectionPool } from './targetConnectionPool.js';
@@ -160,7 +160,7 @@
 	 * Queues a request, sends it to a target and streams the response into the sink.
 	 * @throws RequestError if the request was refused, cancelled or failed; the sink may have been started by then
 	 */
-	async dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
+	async dispatch(request: DispatchRequest, sink: ResponseSink): Promise<DispatchResult> {
 		const arrivedAt = systemClock.now();
 		this._admit(request, arrivedAt);
 		const pending = new PendingRequest(request);
@@ -199,7 +199,7 @@
 		return [...this._targets.values()].filter(target => this._context.owns(target.slots.listed.name));
 	}
 
-	private _admit(request: CarriedRequest, now: Millis): void {
+	private _admit(request: DispatchRequest, now: Millis): void {
 		const { slots, used } = this.capacity();
 		const activeWeight = this._fairQueue.totalActiveWeight(request.group);
 		const decision = this._admission.decide({
@@ -219,7 +219,7 @@
 	}
 
 	/** Refuses a request that is not expected to complete before its deadline, after the time it was queued. */
-	private _refuseIfDeadlineUnreachable(request: CarriedRequest): void {
+	private _refuseIfDeadlineUnreachable(request: DispatchRequest): void {
 		const leftMs = request.deadline - systemClock.now();
 		if (!request.isDeadlineStrict || leftMs >= this._admission.meanServiceMs) {
 			return;
@@ -230,7 +230,7 @@
 	}
 
 	private async _runAttempts(
-		request: CarriedRequest,
+		request: DispatchRequest,
 		sink: ResponseSink,
 		signal: AbortSignal
 	): Promise<{ target: string; status: number }> {
@@ -265,7 +265,7 @@
 
 	private async _attempt(
 		target: TargetSlots,
-		request: CarriedRequest,
+		request: DispatchRequest,
 		sink: ResponseSink,
 		signal: AbortSignal,
 		mayRetry: () => boolean
--- a/src/plugins/dispatch/node/spillTransport.ts
+++ b/src/plugins/dispatch/node/spillTransport.ts
@@ -7,24 +7,24 @@
 import * as grpc from '@grpc/grpc-js';
 import { systemClock } from '../../../base/clock.js';
 import { RefusalReason, RequestError } from '../../../base/verdict.js';
-import { type IPeerWire, type ServerStream } from '../../../kernel/node/peerWire.js';
-import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
+import { type IPeerTransport, type ServerStream } from '../../../kernel/node/peerTransport.js';
+import type { DispatchRequest, ResponseSink } from '../common/dispatch.js';
 import { type SpillResponse, spillMethod, type SpillRequest } from '../common/spill.js';
 
 /** Matches the messages of connection errors after which the request was certainly not sent. */
 const NEVER_SENT_PATTERN = /ECONNREFUSED|No connection established/;
 
 /** Dispatches a request of another instance; resolves with the name of the target. */
-export type SpillHandler = (request: CarriedRequest, sink: ResponseSink, mayQueue: boolean) => Promise<string>;
+export type SpillHandler = (request: DispatchRequest, sink: ResponseSink, mayQueue: boolean) => Promise<string>;
 
 /**
  * Passes a request to the instance at `address`; resolves with the name of the target at the end of the response.
  * @throws RequestError if the instance refused the request or the connection to it failed
  */
 export function spillRequest(
-	wire: IPeerWire,
+	wire: IPeerTransport,
 	address: string,
-	request: CarriedRequest,
+	request: DispatchRequest,
 	sink: ResponseSink,
 	mayQueue: boolean
 ): Promise<string> {
@@ -60,7 +60,7 @@
 		});
 		stream.on('error', (error: grpc.ServiceError) => {
 			if (isStarted) {
-				sink.breakOff();
+				sink.abort();
 			}
 			finish(() => reject(instanceLostError(error, isStarted)));
 		});
@@ -70,7 +70,7 @@
 }
 
 /** Handles requests that other instances pass to this one. */
-export function serveSpilledRequests(wire: IPeerWire, handle: SpillHandler): void {
+export function serveSpilledRequests(wire: IPeerTransport, handle: SpillHandler): void {
 	wire.handleStream(spillMethod, stream => {
 		stream.once('data', (message: SpillRequest) => void handleSpillRequest(stream, message, handle));
 	});
@@ -83,7 +83,7 @@
 ): Promise<void> {
 	const cancellation = new AbortController();
 	stream.on('cancelled', () => cancellation.abort());
-	const request: CarriedRequest = {
+	const request: DispatchRequest = {
 		...message,
 		body: Buffer.from(message.body),
 		deadline: systemClock.now() + message.leftMs,
@@ -95,7 +95,7 @@
 		write: bytes => stream.write({ type: 'chunk', bytes }),
 		onDrain: callback => stream.once('drain', callback),
 		end: () => (isEnded = true),
-		breakOff: () => stream.destroy()
+		abort: () => stream.destroy()
 	};
 	try {
 		const target = await handle(request, sink, message.mayQueue);
@@ -109,7 +109,7 @@
 	}
 }
 
-function toSpillRequest(request: CarriedRequest, mayQueue: boolean): SpillRequest {
+function toSpillRequest(request: DispatchRequest, mayQueue: boolean): SpillRequest {
 	const { requestId, service, group, method, path, headers, body, isDeadlineStrict, orderKey, isRepeatable } = request;
 	const leftMs = Math.max(0, request.deadline - systemClock.now());
 	const copied = { requestId, service, group, method, path, headers, body, isDeadlineStrict, isRepeatable };
--- a/src/plugins/dispatch/node/targetConnectionPool.ts
+++ b/src/plugins/dispatch/node/targetConnectionPool.ts
@@ -8,7 +8,7 @@
 import { systemClock } from '../../../base/clock.js';
 import type { IDisposable } from '../../../base/disposable.js';
 import type { Verdict } from '../../../base/verdict.js';
-import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
+import type { DispatchRequest, ResponseSink } from '../common/dispatch.js';
 import { TARGET_LEAVING_HEADER, TARGET_SHED_HEADER } from '../common/target.js';
 
 const CONNECT_TIMEOUT_MS = 1000;
@@ -39,7 +39,7 @@
 
 /** Request and callbacks of one attempt. */
 export interface Attempt {
-	readonly request: CarriedRequest;
+	readonly request: DispatchRequest;
 	readonly sink: ResponseSink;
 	/** Called when the target refused without processing; if true, its response is discarded and the outcome is `shed`. */
 	mayRetry(): boolean;
@@ -87,7 +87,7 @@
 	}
 }
 
-function targetHeaders(request: CarriedRequest): Record<string, string | string[]> {
+function targetHeaders(request: DispatchRequest): Record<string, string | string[]> {
 	const headers: Record<string, string | string[]> = {};
 	for (const [name, value] of Object.entries(request.headers)) {
 		if (value !== undefined) {
@@ -178,7 +178,7 @@
 
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
 		if (this._isResponseStarted) {
-			this._attempt.sink.breakOff();
+			this._attempt.sink.abort();
 			this._settle({ kind: 'broken' });
 			return;
 		}
--- a/src/plugins/dispatch/test/dispatchService.test.ts
+++ b/src/plugins/dispatch/test/dispatchService.test.ts
@@ -13,10 +13,10 @@
 import { Emitter } from '../../../base/event.js';
 import { RefusalReason } from '../../../base/verdict.js';
 import type { ILogService } from '../../../kernel/node/logService.js';
-import type { IPeerWire } from '../../../kernel/node/peerWire.js';
+import type { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import type { ISettingsService } from '../../../kernel/node/settingsService.js';
 import type { IEntryConfiguration } from '../../configuration/common/entryConfiguration.js';
-import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
+import type { DispatchRequest, ResponseSink } from '../common/dispatch.js';
 import type { SpillResponse } from '../common/spill.js';
 import { DispatchService } from '../node/dispatchService.js';
 
@@ -36,7 +36,7 @@
 	write: () => true,
 	onDrain: () => undefined,
 	end: () => undefined,
-	breakOff: () => undefined
+	abort: () => undefined
 };
 const servers: Server[] = [];
 
@@ -110,7 +110,7 @@
 			calledAddresses.push(address);
 			return new FakeSpillStream(others.get(address)!);
 		}
-	} as unknown as IPeerWire;
+	} as unknown as IPeerTransport;
 	const onDidChange = new Emitter<void>();
 	const instance = { calledAddresses, ownsTarget: true, changeOwnership: () => onDidChange.fire() };
 	const ownership = { owns: () => instance.ownsTarget, onDidChange: onDidChange.event };
@@ -119,7 +119,7 @@
 	return Object.assign(instance, { service });
 }
 
-function request(id: string): CarriedRequest {
+function request(id: string): DispatchRequest {
 	return {
 		requestId: id,
 		service: 's',
--- a/src/plugins/dispatch/test/serviceDispatcher.test.ts
+++ b/src/plugins/dispatch/test/serviceDispatcher.test.ts
@@ -10,7 +10,7 @@
 import { after, before, test } from 'node:test';
 import { systemClock } from '../../../base/clock.js';
 import { RequestError } from '../../../base/verdict.js';
-import type { CarriedRequest, ResponseSink } from '../common/dispatch.js';
+import type { DispatchRequest, ResponseSink } from '../common/dispatch.js';
 import type { ListedTarget } from '../common/target.js';
 import { ServiceDispatcher, type ServicePolicy } from '../node/serviceDispatcher.js';
 
@@ -37,7 +37,7 @@
 	return { name, service: 's', url: `http://127.0.0.1:${port}`, hall: 'h', region: 'r', slots: 2, state: 'live' };
 }
 
-function request(signal: AbortSignal): CarriedRequest {
+function request(signal: AbortSignal): DispatchRequest {
 	return {
 		requestId: 'r-1',
 		service: 's',
@@ -58,7 +58,7 @@
 	write: () => true,
 	onDrain: () => undefined,
 	end: () => undefined,
-	breakOff: () => undefined
+	abort: () => undefined
 };
 
 let targets: ListedTarget[];
--- a/src/plugins/fleet/common/viewAge.ts
+++ b/src/plugins/fleet/common/viewAge.ts
@@ -5,7 +5,7 @@
 /** Computes an upper bound of the age of an entry instance's view of the fleet. */
 
 import { type IClock, type Millis, systemClock } from '../../../base/clock.js';
-import { type ISuspensionWatch, SuspensionWatch } from '../../../base/suspensionWatch.js';
+import { type ISuspensionDetector, SuspensionDetector } from '../../../base/suspensionDetector.js';
 
 /** When a request was sent to a control instance. */
 export interface RequestTimestamp {
@@ -21,7 +21,7 @@
 
 	constructor(
 		private readonly _clock: IClock = systemClock,
-		private readonly _watch: ISuspensionWatch = new SuspensionWatch(_clock)
+		private readonly _watch: ISuspensionDetector = new SuspensionDetector(_clock)
 	) {}
 
 	/** Infinite before the first current response, and after a suspension until the next one. */
@@ -53,7 +53,7 @@
 
 	/** Discards the age of the view after a suspension, whose duration the monotonic clock does not count. */
 	private _checkSuspension(): void {
-		if (this._watch.takeLeap()) {
+		if (this._watch.detectSuspension()) {
 			this._suspensionCount++;
 			this._currentAt = Number.NEGATIVE_INFINITY;
 		}
--- a/src/plugins/fleet/node/quarantinePages.ts
+++ b/src/plugins/fleet/node/quarantinePages.ts
@@ -6,7 +6,7 @@
 
 import { Disposable } from '../../../base/disposable.js';
 import { type HttpRequest, type HttpResponse, sendJson } from '../../../kernel/node/httpListener.js';
-import { IProcessPages } from '../../../kernel/node/processPages.js';
+import { IAdminEndpoints } from '../../../kernel/node/adminEndpoints.js';
 import { FleetUnavailableError, IFleetControl } from '../common/fleetControl.js';
 import { type QuarantineListEntry, QUARANTINE_PHASE_NAMES, QUARANTINE_PATH } from '../common/quarantineApi.js';
 import { phaseOf } from '../common/quarantineTypes.js';
@@ -14,7 +14,7 @@
 /** Serves the quarantine endpoints. */
 export class QuarantinePages extends Disposable {
 	constructor(
-		@IProcessPages pages: IProcessPages,
+		@IAdminEndpoints pages: IAdminEndpoints,
 		@IFleetControl private readonly _fleet: IFleetControl
 	) {
 		super();
--- a/src/plugins/fleet/test/limitedTargetSimulation.ts
+++ b/src/plugins/fleet/test/limitedTargetSimulation.ts
@@ -82,10 +82,10 @@
 		const { limits, view } = this._instances[index % this._instances.length]!;
 		const record = view.target(TARGET_ID)?.record;
 		// An instance without the record does not know the target.
-		if (!record || !limits.isOpen(record, true, this.now)) {
+		if (!record || !limits.hasCapacity(record, true, this.now)) {
 			return false;
 		}
-		const isAdmitted = limits.takeOwn(record, this.now) || this._borrowPermit(limits, record, isLost);
+		const isAdmitted = limits.tryTakeOwnPermit(record, this.now) || this._borrowPermit(limits, record, isLost);
 		if (isAdmitted) {
 			this.sentAt.push(this.now);
 		}
@@ -98,15 +98,15 @@
 	}
 
 	private _borrowPermit(limits: TargetLimitTable, record: TargetRecord, isLost: boolean): boolean {
-		const lender = limits.lender(record, this.now);
+		const lender = limits.findPermitProvider(record, this.now);
 		const other = this._instances.find(({ name }) => name === lender?.name);
-		const answer = other?.limits.lend({ targetId: TARGET_ID, bornAt: record.bornAt }, this.now);
+		const answer = other?.limits.grantPermit({ targetId: TARGET_ID, bornAt: record.bornAt }, this.now);
 		if (!answer || isLost) {
-			limits.noteSilent(lender?.name ?? '', this.now);
+			limits.recordUnresponsive(lender?.name ?? '', this.now);
 			return false;
 		}
 		if (!answer.isGranted) {
-			limits.noteDenied(record, lender!.name, answer.waitMs, this.now);
+			limits.recordDenied(record, lender!.name, answer.waitMs, this.now);
 		}
 		return answer.isGranted;
 	}
--- a/src/plugins/forwarding/common/placement/placementPlans.ts
+++ b/src/plugins/forwarding/common/placement/placementPlans.ts
@@ -141,7 +141,7 @@
 	}
 
 	private _servicePlan(service: string, { route, homeRegions }: RegionalRoute, now: Millis): ServicePlan {
-		const isLarge = route.repeatRule === RepeatRule.LargeAnswer;
+		const isLarge = route.repeatRule === RepeatRule.LargeResponse;
 		const key = `${service} ${homeRegions.join(',')} ${isLarge}`;
 		let plan = this._services.get(key);
 		if (!plan) {
--- a/src/plugins/forwarding/common/placement/weightedServiceChoice.ts
+++ b/src/plugins/forwarding/common/placement/weightedServiceChoice.ts
@@ -5,7 +5,7 @@
 /** Divides the requests of a route among its services by weight. */
 
 import { hash32 } from '../../../../base/hashing.js';
-import type { Route, RoutePart } from '../../../routes/common/routeTable.js';
+import type { Route, WeightedService } from '../../../routes/common/routeTable.js';
 
 const HASH_RANGE = 2 ** 32;
 
@@ -22,7 +22,7 @@
 	return pickByWeight(route.parts, hash32(requestId) / HASH_RANGE).service;
 }
 
-function pickByWeight(parts: readonly RoutePart[], position: number): RoutePart {
+function pickByWeight(parts: readonly WeightedService[], position: number): WeightedService {
 	const total = parts.reduce((sum, part) => sum + part.weight, 0);
 	let remaining = position * total;
 	for (const part of parts) {
--- a/src/plugins/forwarding/node/attemptSender.ts
+++ b/src/plugins/forwarding/node/attemptSender.ts
@@ -170,7 +170,7 @@
 	private _applyTargetLimit(record: TargetRecord, report: TargetReport, askedAt: Millis): void {
 		const { limitPerSecond: perSecond, echoesRequestId: hasEcho } = report;
 		if (perSecond !== undefined || hasEcho) {
-			this._dependencies.limits.hear(record, { perSecond, askedAt });
+			this._dependencies.limits.applyReport(record, { perSecond, requestSentAt: askedAt });
 		}
 	}
 
@@ -221,7 +221,7 @@
 	}
 
 	private _recordResponseSize(route: Route, contentLength: string | undefined): void {
-		if (route.repeatRule === RepeatRule.LargeAnswer && contentLength !== undefined) {
+		if (route.repeatRule === RepeatRule.LargeResponse && contentLength !== undefined) {
 			this._dependencies.largeResponseLimiter.recordSize(route, Number(contentLength));
 		}
 	}
--- a/src/plugins/forwarding/node/forwardingTask.ts
+++ b/src/plugins/forwarding/node/forwardingTask.ts
@@ -18,7 +18,7 @@
 import { type IPermit, ITargetLimits } from '../../limits/common/targetLimits.js';
 import { ITeamLimits, LimitVerdict } from '../../limits/common/teamLimits.js';
 import { RepeatRule, type Route } from '../../routes/common/routeTable.js';
-import { accessOf } from '../../routes/common/teamAccess.js';
+import { checkAccess } from '../../routes/common/teamAccess.js';
 import type { TargetResponse } from '../common/attempt.js';
 import type { FrontSettings } from '../common/frontSettings.js';
 import { IHeaderNames } from '../common/headerNames.js';
@@ -136,7 +136,7 @@
 			exchange.sendLocalResponse({ status: 404, verdict: 'not-run', reason: 'no-route' });
 			return;
 		}
-		const access = accessOf(routes, route, exchange.keyDigest);
+		const access = checkAccess(routes, route, exchange.keyDigest);
 		if (!access.isGranted) {
 			exchange.sendLocalResponse(accessDeniedResponse(access));
 			return;
@@ -183,7 +183,7 @@
 	 * @returns false where the link has no bandwidth left for it
 	 */
 	private _admitLargeResponse(exchange: CallerExchange, route: Route): boolean {
-		if (route.repeatRule !== RepeatRule.LargeAnswer) {
+		if (route.repeatRule !== RepeatRule.LargeResponse) {
 			return true;
 		}
 		const bytes = this._largeResponseLimiter.tryAdmit(route);
@@ -266,7 +266,7 @@
 		if (this._targetLimits.perSecond(known.record, systemClock.now()) === undefined) {
 			return undefined;
 		}
-		const permit = await this._targetLimits.take(known.record);
+		const permit = await this._targetLimits.acquirePermit(known.record);
 		context.permitsDenied += permit ? 0 : 1;
 		return permit ?? 'none';
 	}
@@ -274,7 +274,7 @@
 	/** Checks access again before each attempt, since a key can be revoked between attempts; undefined where access is still granted. */
 	private _recheckAccess({ route, exchange }: RequestContext): LocalResponse | undefined {
 		const { routes } = this._session.view;
-		const access = routes && accessOf(routes, route, exchange.keyDigest);
+		const access = routes && checkAccess(routes, route, exchange.keyDigest);
 		return access && !access.isGranted ? accessDeniedResponse(access) : undefined;
 	}
 
--- a/src/plugins/forwarding/node/frontListener.ts
+++ b/src/plugins/forwarding/node/frontListener.ts
@@ -8,7 +8,7 @@
 import { Disposable, toDisposable } from '../../../base/disposable.js';
 import { type Millis, systemClock } from '../../../base/clock.js';
 import { HttpListener } from '../../../kernel/node/httpListener.js';
-import { IdleConnections } from '../../../kernel/node/idleConnections.js';
+import { ConnectionTracker } from '../../../kernel/node/connectionTracker.js';
 import { ILogService } from '../../../kernel/node/logService.js';
 import { IMetricsService } from '../../../kernel/node/metricsService.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
@@ -39,7 +39,7 @@
 export class FrontListener extends Disposable {
 	private readonly _settings: FrontSettings;
 	private readonly _server: Server;
-	private readonly _idleConnections: IdleConnections;
+	private readonly _idleConnections: ConnectionTracker;
 	private readonly _readinessListener: HttpListener;
 	private readonly _linkScheduler: LinkScheduler;
 	private _inFlight = 0;
@@ -59,7 +59,7 @@
 		this._settings = settings.section<FrontSettings>('front');
 		this._linkScheduler = new LinkScheduler(new LinkPacer(this._settings.linkMbit));
 		this._server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS });
-		this._idleConnections = new IdleConnections(this._server);
+		this._idleConnections = new ConnectionTracker(this._server);
 		this._server.requestTimeout = 0;
 		this._server.maxConnections = this._settings.maxConnections;
 		this._server.on('request', (request, response) => this._onRequest(request, response));
@@ -96,15 +96,15 @@
 		const startedAt = systemClock.now();
 		this._isDraining = true;
 		this._session.setReady(false);
-		this._idleConnections.close();
+		this._idleConnections.closeIdle();
 		const drainDeadline = startedAt + this._serviceBounds.stopGraceMs - EXIT_MARGIN_MS;
 		for (;;) {
 			const elapsedMs = systemClock.now() - startedAt;
 			const isAccepting = elapsedMs < Math.min(ACCEPT_DURING_DRAIN_MS, this._serviceBounds.stopGraceMs / 2);
 			if (!isAccepting && this._isListening) {
 				this._isListening = false;
-				this._idleConnections.stopListening();
-				this._idleConnections.close();
+				this._idleConnections.stopAccepting();
+				this._idleConnections.closeIdle();
 			}
 			if ((!isAccepting && this._inFlight === 0) || systemClock.now() > drainDeadline) {
 				break;
--- a/src/plugins/forwarding/node/placement/targetSelector.ts
+++ b/src/plugins/forwarding/node/placement/targetSelector.ts
@@ -9,7 +9,7 @@
 import type { PaceShare } from '../../../fleet/common/paceShare.js';
 import type { WorkByTarget } from '../../../fleet/common/requestedWork.js';
 import { RepeatRule, type Route } from '../../../routes/common/routeTable.js';
-import type { ITargetRoom } from '../../../limits/common/targetLimits.js';
+import type { ITargetLimitStatus } from '../../../limits/common/targetLimits.js';
 import { NotRunCause } from '../../common/attempt.js';
 import { findUnusedTarget } from '../../common/placement/firstRequests.js';
 import type { Event } from '../../../../base/event.js';
@@ -75,7 +75,7 @@
 		regions: readonly string[],
 		shiftBounds: ShiftBounds,
 		private readonly _paceShare: PaceShare,
-		private readonly _targetLimits: ITargetRoom
+		private readonly _targetLimits: ITargetLimitStatus
 	) {
 		this._states = new TargetStates(_view, _targetLimits);
 		this._plans = new PlacementPlans(_view, _instance, regions, shiftBounds);
@@ -160,7 +160,7 @@
 	}
 
 	private _nextPermitAt(limited: readonly Candidate[], now: Millis): Millis {
-		return now + Math.min(...limited.map(({ known }) => this._targetLimits.permitInMs(known.record, now)));
+		return now + Math.min(...limited.map(({ known }) => this._targetLimits.permitWaitMs(known.record, now)));
 	}
 
 	/** Time between permits of rate limited targets for the callers of one of the region's instances, which share them equally. */
--- a/src/plugins/forwarding/node/requestContext.ts
+++ b/src/plugins/forwarding/node/requestContext.ts
@@ -6,7 +6,7 @@
 
 import type { Millis } from '../../../base/clock.js';
 import { RefusalReason } from '../../../base/verdict.js';
-import { type LimitAnswer, LimitVerdict } from '../../limits/common/teamLimits.js';
+import { type LimitDecision, LimitVerdict } from '../../limits/common/teamLimits.js';
 import type { QuarantinePhase } from '../../fleet/common/quarantineTypes.js';
 import type { RequestIdentity } from '../../fleet/common/requestIdentity.js';
 import type { Route, Team } from '../../routes/common/routeTable.js';
@@ -100,7 +100,7 @@
 }
 
 /** 429 for a team over its rate limit; 503 where the team's permits could not be renewed. */
-export function teamLimitResponse({ verdict, retryAfterMs }: LimitAnswer): LocalResponse {
+export function teamLimitResponse({ verdict, retryAfterMs }: LimitDecision): LocalResponse {
 	return verdict === LimitVerdict.OverLimit
 		? { status: STATUS_TOO_MANY, verdict: 'not-run', reason: RefusalReason.OverLimit, retryAfterMs }
 		: unavailableResponse(RefusalReason.NoQuorum, retryAfterMs);
--- a/src/plugins/forwarding/node/retryPolicy.ts
+++ b/src/plugins/forwarding/node/retryPolicy.ts
@@ -113,7 +113,7 @@
 		}
 		const retryAfterMs = this._retryAfterSchedulerOf(context.service).after(capacity, context.deadline) - now;
 		const isAtLimit = capacity.cause === NotRunCause.RateLimited;
-		const reason = isAtLimit ? RefusalReason.TargetsAtLimit : RefusalReason.TargetsAtRest;
+		const reason = isAtLimit ? RefusalReason.TargetsRateLimited : RefusalReason.TargetsBackingOff;
 		return unavailableResponse(reason, Math.max(SHORT_RETRY_AFTER_MS, retryAfterMs));
 	}
 
--- a/src/plugins/forwarding/node/targets/limitMonitor.ts
+++ b/src/plugins/forwarding/node/targets/limitMonitor.ts
@@ -50,7 +50,7 @@
 			registers,
 			collect() {
 				this.reset();
-				_limits.limited().forEach(({ id, service, perSecond }) => this.set({ service, target: id }, perSecond));
+				_limits.limitedTargets().forEach(({ id, service, perSecond }) => this.set({ service, target: id }, perSecond));
 			}
 		});
 		this._sentCounter = new Counter({
--- a/src/plugins/forwarding/node/targets/targetStates.ts
+++ b/src/plugins/forwarding/node/targets/targetStates.ts
@@ -6,7 +6,7 @@
 
 import { type Millis } from '../../../../base/clock.js';
 import type { FleetView, ITargetReachability, KnownTarget } from '../../../fleet/common/fleetView.js';
-import type { ITargetRoom } from '../../../limits/common/targetLimits.js';
+import type { ITargetLimitStatus } from '../../../limits/common/targetLimits.js';
 import type { Candidate } from '../../common/placement/targetChoice.js';
 import { RegionLoad } from '../../common/placement/regionLoad.js';
 import { TargetState } from '../../common/targets/targetState.js';
@@ -30,7 +30,7 @@
 
 	constructor(
 		private readonly _view: FleetView,
-		private readonly _room: ITargetRoom
+		private readonly _room: ITargetLimitStatus
 	) {
 		_view.setReachability(this);
 	}
@@ -85,7 +85,7 @@
 				reachableRegions.add(known.region);
 			}
 			if (!tried.has(known.record.id)) {
-				const isAvailable = !state.backoff.isActive(now) && this._room.isOpen(known.record, mayRequestPermit, now);
+				const isAvailable = !state.backoff.isActive(now) && this._room.hasCapacity(known.record, mayRequestPermit, now);
 				(isAvailable ? candidates : deferred).push({ known, state });
 			}
 		}
--- a/src/plugins/forwarding/test/partChoice.test.ts
+++ b/src/plugins/forwarding/test/partChoice.test.ts
@@ -6,14 +6,14 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RepeatRule, type Route, type RoutePart } from '../../routes/common/routeTable.js';
+import { RepeatRule, type Route, type WeightedService } from '../../routes/common/routeTable.js';
 import { chooseService } from '../common/placement/weightedServiceChoice.js';
 
 const REQUESTS = 2000;
 /** Tolerance; three standard deviations of a share of 0.5 with this number of requests are 0.034. */
 const MAX_DEVIATION = 0.04;
 
-function routeWith(parts: readonly RoutePart[]): Route {
+function routeWith(parts: readonly WeightedService[]): Route {
 	return {
 		name: 'r',
 		host: 'h',
--- a/src/plugins/forwarding/test/targetReport.test.ts
+++ b/src/plugins/forwarding/test/targetReport.test.ts
@@ -184,12 +184,12 @@
 
 test('a lower rate limit applies at once, a higher one or none only if reported for a request sent after the lower one was known', () => {
 	const limit = new TargetLimit();
-	assert.equal(limit.hear({ perSecond: 8, askedAt: 0 }, 100), LimitChange.Named);
-	assert.equal(limit.hear({ perSecond: 2, askedAt: 50 }, 110), LimitChange.Lowered);
-	assert.equal(limit.hear({ perSecond: 8, askedAt: 105 }, 120), undefined);
-	assert.equal(limit.hear({ perSecond: undefined, askedAt: 110 }, 121), undefined);
+	assert.equal(limit.applyReport({ perSecond: 8, requestSentAt: 0 }, 100), LimitChange.Named);
+	assert.equal(limit.applyReport({ perSecond: 2, requestSentAt: 50 }, 110), LimitChange.Lowered);
+	assert.equal(limit.applyReport({ perSecond: 8, requestSentAt: 105 }, 120), undefined);
+	assert.equal(limit.applyReport({ perSecond: undefined, requestSentAt: 110 }, 121), undefined);
 	assert.equal(limit.perSecond, 2);
-	assert.equal(limit.hear({ perSecond: 4, askedAt: 111 }, 130), LimitChange.Raised);
-	assert.equal(limit.hear({ perSecond: undefined, askedAt: 131 }, 140), LimitChange.Ended);
+	assert.equal(limit.applyReport({ perSecond: 4, requestSentAt: 111 }, 130), LimitChange.Raised);
+	assert.equal(limit.applyReport({ perSecond: undefined, requestSentAt: 131 }, 140), LimitChange.Ended);
 	assert.equal(limit.perSecond, undefined);
 });
--- a/src/plugins/limits/common/creditLedger.ts
+++ b/src/plugins/limits/common/creditLedger.ts
@@ -15,7 +15,7 @@
 import type { Millis } from '../../../base/clock.js';
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 import { HolderAccount } from './holderAccount.js';
-import { type ILimitTerms, maxRequestsPerWindow, settlementMs } from './limitTerms.js';
+import { type ILimitPolicy, maxRequestsPerWindow, settlementMs } from './limitPolicy.js';
 import type { CreditGrant, CreditReport, RenewRequest } from './limitWire.js';
 import { SpendHistory } from './spendHistory.js';
 
@@ -128,7 +128,7 @@
 	 * @param _startedAt when this leader's ledger started
 	 */
 	constructor(
-		private readonly _policy: ILimitTerms,
+		private readonly _policy: ILimitPolicy,
 		private readonly _ceilings: ICeilings,
 		private readonly _limitOf: (team: string) => TeamLimit | undefined,
 		private readonly _startedAt: Millis
--- a/src/plugins/limits/common/holderAccount.ts
+++ b/src/plugins/limits/common/holderAccount.ts
@@ -9,7 +9,7 @@
 
 import type { Millis } from '../../../base/clock.js';
 import { CreditBatches } from './creditBatches.js';
-import { CREDIT_LIFETIME_MS, EXPIRY_MARGIN_MS } from './limitTerms.js';
+import { CREDIT_LIFETIME_MS, EXPIRY_MARGIN_MS } from './limitPolicy.js';
 import type { CreditReport } from './limitWire.js';
 
 /**
--- a/src/plugins/limits/common/limitTerms.ts
+++ b/src/plugins/limits/common/limitPolicy.ts
@@ -9,16 +9,16 @@
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 
 /** The window in which requests of a team are counted, and the tolerance beyond its limit. */
-export interface ILimitTerms {
+export interface ILimitPolicy {
 	readonly windowMs: Millis;
 	/** Fraction of the requests allowed in a window by which they may be exceeded. */
-	readonly excess: number;
+	readonly excessFraction: number;
 	/** Additional requests that a window may contain. */
-	readonly slack: number;
+	readonly slackRequests: number;
 }
 
 /** Identifier of the limit policy. */
-export const ILimitTerms = createServiceIdentifier<ILimitTerms>('limitPolicy');
+export const ILimitPolicy = createServiceIdentifier<ILimitPolicy>('limitPolicy');
 
 /** Unspent credits expire this long after they were requested, by the clock of their holder. */
 export const CREDIT_LIFETIME_MS: Millis = 2500;
@@ -30,13 +30,13 @@
 /** Maximum number of requests of a team that may be admitted in a window. */
 export function maxRequestsPerWindow(
 	{ perSecond, burst }: TeamLimit,
-	{ windowMs, excess, slack }: ILimitTerms
+	{ windowMs, excessFraction: excess, slackRequests: slack }: ILimitPolicy
 ): number {
 	const allowed = (perSecond * windowMs) / 1000 + burst;
 	return Math.floor(ADMITTED_FRACTION * (allowed * (1 + excess) + slack));
 }
 
 /** How long requests admitted by credits of earlier leaders count after a new leader has started. */
-export function settlementMs({ windowMs }: ILimitTerms): Millis {
+export function settlementMs({ windowMs }: ILimitPolicy): Millis {
 	return windowMs + CREDIT_LIFETIME_MS + EXPIRY_MARGIN_MS;
 }
--- a/src/plugins/limits/common/targetLimit.ts
+++ b/src/plugins/limits/common/targetLimit.ts
@@ -21,7 +21,7 @@
 	/** Requests per second; undefined if it reports no limit. */
 	readonly perSecond: number | undefined;
 	/** When the request of this response was written, on the monotonic clock. */
-	readonly askedAt: Millis;
+	readonly requestSentAt: Millis;
 }
 
 /** For this long after a report of the target itself, a higher limit in its record is ignored. */
@@ -62,7 +62,7 @@
 	 * sent after the lower one was last confirmed here.
 	 * @returns undefined if nothing changed
 	 */
-	hear({ perSecond, askedAt: requestSentAt }: LimitReport, now: Millis): LimitChange | undefined {
+	applyReport({ perSecond, requestSentAt }: LimitReport, now: Millis): LimitChange | undefined {
 		if (isIncrease(changeOf(this._perSecond, perSecond)) && requestSentAt <= this._confirmedAt) {
 			return undefined;
 		}
--- a/src/plugins/limits/common/targetLimitTable.ts
+++ b/src/plugins/limits/common/targetLimitTable.ts
@@ -16,7 +16,7 @@
 import type { PaceShare } from '../../fleet/common/paceShare.js';
 import type { PermitResponse, PermitRequest } from './permitWire.js';
 import { type LimitReport, TargetLimit } from './targetLimit.js';
-import type { ITargetRoom, LimitedTarget, TargetLimitEvent } from './targetLimits.js';
+import type { ITargetLimitStatus, LimitedTarget, TargetLimitEvent } from './targetLimits.js';
 
 /** Relative change of a limit from which it is reported to control; smaller ones reach the senders by the target's responses. */
 const REPORT_THRESHOLD_FRACTION = 0.1;
@@ -42,7 +42,7 @@
 }
 
 /** Known limits by target. */
-export class TargetLimitTable implements ITargetRoom {
+export class TargetLimitTable implements ITargetLimitStatus {
 	private readonly _limits = new Map<string, KnownLimit>();
 	private readonly _onDidChange = new Emitter<TargetLimitEvent>();
 	readonly onDidChange = this._onDidChange.event;
@@ -60,16 +60,18 @@
 		return this._knownLimit(record, now)?.limit.perSecond;
 	}
 
-	isOpen(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean {
+	hasCapacity(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean {
 		const known = this._knownLimit(record, now);
 		if (known?.limit.perSecond === undefined) {
 			return true;
 		}
 		const share = this._share.fractionFor(record);
-		return share > 0 ? known.limit.hasPermit(share, now) : mayAskOthers && this.lender(record, now) !== undefined;
+		return share > 0
+			? known.limit.hasPermit(share, now)
+			: mayAskOthers && this.findPermitProvider(record, now) !== undefined;
 	}
 
-	permitInMs(record: TargetRecord, now: Millis): Millis {
+	permitWaitMs(record: TargetRecord, now: Millis): Millis {
 		const known = this._knownLimit(record, now);
 		const share = this._share.fractionFor(record);
 		if (!known || share > 0) {
@@ -85,17 +87,17 @@
 	}
 
 	/** Applies the limit reported in a response of a target. */
-	hear(record: TargetRecord, report: LimitReport, now: Millis): void {
+	applyReport(record: TargetRecord, report: LimitReport, now: Millis): void {
 		const known =
 			this._knownLimit(record, now) ?? (report.perSecond === undefined ? undefined : this._addLimit(record));
-		const change = known?.limit.hear(report, now);
+		const change = known?.limit.applyReport(report, now);
 		if (change !== undefined) {
 			this._onDidChange.fire({ record, change, perSecond: known!.limit.perSecond, source: 'target' });
 		}
 	}
 
 	/** Takes a permit of this instance's own share, if one is available. */
-	takeOwn(record: TargetRecord, now: Millis): boolean {
+	tryTakeOwnPermit(record: TargetRecord, now: Millis): boolean {
 		const share = this._share.fractionFor(record);
 		return share > 0 && (this._knownLimit(record, now)?.limit.tryTakePermit(share, now) ?? true);
 	}
@@ -109,33 +111,33 @@
 	}
 
 	/** Handles a permit request of another instance. */
-	lend({ targetId, bornAt }: PermitRequest, now: Millis): PermitResponse {
+	grantPermit({ targetId, bornAt }: PermitRequest, now: Millis): PermitResponse {
 		const record = this._view.target(targetId)?.record;
 		const share = record?.bornAt === bornAt ? this._share.fractionFor(record) : 0;
 		if (!record || share === 0) {
 			return { isGranted: false, waitMs: UNRESPONSIVE_RETRY_MS };
 		}
-		const isGranted = this.takeOwn(record, now);
-		return { isGranted, waitMs: isGranted ? 0 : this.permitInMs(record, now) };
+		const isGranted = this.tryTakeOwnPermit(record, now);
+		return { isGranted, waitMs: isGranted ? 0 : this.permitWaitMs(record, now) };
 	}
 
 	/** The sender to request a permit from; undefined if none can be asked now. */
-	lender(record: TargetRecord, now: Millis): PermitProvider | undefined {
+	findPermitProvider(record: TargetRecord, now: Millis): PermitProvider | undefined {
 		return this._permitProviders(record).find(({ name }) => this._retryAt(record, name) <= now);
 	}
 
 	/** Records that a sender had no permit. */
-	noteDenied(record: TargetRecord, providerName: string, waitMs: Millis, now: Millis): void {
+	recordDenied(record: TargetRecord, providerName: string, waitMs: Millis, now: Millis): void {
 		this._knownLimit(record, now)?.retryAtByProvider.set(providerName, now + Math.max(MIN_DENIED_RETRY_MS, waitMs));
 	}
 
 	/** Records that a sender did not respond; it is skipped for all targets for some time. */
-	noteSilent(providerName: string, now: Millis): void {
+	recordUnresponsive(providerName: string, now: Millis): void {
 		this._unresponsiveUntil.set(providerName, now + UNRESPONSIVE_RETRY_MS);
 	}
 
 	/** Limits known here that differ from the records of their targets, also those that have ended. */
-	untold(now: Millis): ReportedLimit[] {
+	unreportedLimits(now: Millis): ReportedLimit[] {
 		return this._currentLimits(now).flatMap(({ record, limit: { perSecond } }) =>
 			differsFromRecorded(perSecond, record.limitPerSecond)
 				? [{ id: record.id, bornAt: record.bornAt, perSecond: perSecond ?? null }]
--- a/src/plugins/limits/common/targetLimits.ts
+++ b/src/plugins/limits/common/targetLimits.ts
@@ -35,30 +35,30 @@
 }
 
 /** Remaining capacity within the limits of targets, as known to this instance. */
-export interface ITargetRoom {
+export interface ITargetLimitStatus {
 	/** Requests per second that a target accepts from all instances together; undefined if it has no limit. */
 	perSecond(record: TargetRecord, now: Millis): number | undefined;
 	/**
 	 * Whether a target has no limit, or a permit may be available.
 	 * @param mayAskOthers whether a permit may be requested from another instance
 	 */
-	isOpen(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean;
+	hasCapacity(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean;
 	/** Time until a permit may be available; 0 if one may be available now. */
-	permitInMs(record: TargetRecord, now: Millis): Millis;
+	permitWaitMs(record: TargetRecord, now: Millis): Millis;
 }
 
 /** The limits of targets at one entry instance. */
-export interface ITargetLimits extends ITargetRoom {
+export interface ITargetLimits extends ITargetLimitStatus {
 	/** Fires when a known limit has changed. */
 	readonly onDidChange: Event<TargetLimitEvent>;
 	/** Applies the limit reported in a response of a target. */
-	hear(record: TargetRecord, report: LimitReport): void;
+	applyReport(record: TargetRecord, report: LimitReport): void;
 	/** Since when the current limit of a target, or its absence, is known. */
 	knownSince(record: TargetRecord): Millis;
 	/** Takes a permit for one request to a target with a limit, from this instance's share or from another instance; undefined if none is available. */
-	take(record: TargetRecord): IPermit | undefined | Promise<IPermit | undefined>;
+	acquirePermit(record: TargetRecord): IPermit | undefined | Promise<IPermit | undefined>;
 	/** The targets that have a limit now. */
-	limited(): readonly LimitedTarget[];
+	limitedTargets(): readonly LimitedTarget[];
 }
 
 /** Identifier of the limits of targets. */
--- a/src/plugins/limits/common/teamCredits.ts
+++ b/src/plugins/limits/common/teamCredits.ts
@@ -6,7 +6,7 @@
 
 import type { Millis } from '../../../base/clock.js';
 import { CreditBatches } from './creditBatches.js';
-import { CREDIT_LIFETIME_MS } from './limitTerms.js';
+import { CREDIT_LIFETIME_MS } from './limitPolicy.js';
 import type { CreditReport } from './limitWire.js';
 
 /** Time constant of the decaying average of the request rate. */
--- a/src/plugins/limits/common/teamLimits.ts
+++ b/src/plugins/limits/common/teamLimits.ts
@@ -18,7 +18,7 @@
 }
 
 /** The verdict, and the delay after which a retry may succeed. */
-export interface LimitAnswer {
+export interface LimitDecision {
 	readonly verdict: LimitVerdict;
 	/** 0 if the request is admitted. */
 	readonly retryAfterMs: Millis;
@@ -27,7 +27,7 @@
 /** The limits of teams at one entry instance. */
 export interface ITeamLimits {
 	/** Decides whether one request may be sent to one target. */
-	admit(team: Team): LimitAnswer | Promise<LimitAnswer>;
+	admit(team: Team): LimitDecision | Promise<LimitDecision>;
 	/** Returns the credit of an admitted request that will not run. */
 	giveBack(team: Team): void;
 }
--- a/src/plugins/limits/node/creditHolder.ts
+++ b/src/plugins/limits/node/creditHolder.ts
@@ -10,7 +10,7 @@
 
 import { Disposable, toDisposable } from '../../../base/disposable.js';
 import { type Millis, systemClock } from '../../../base/clock.js';
-import { type ISuspensionWatch, SuspensionWatch } from '../../../base/suspensionWatch.js';
+import { type ISuspensionDetector, SuspensionDetector } from '../../../base/suspensionDetector.js';
 import type { ILogService } from '../../../kernel/node/logService.js';
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 import type { CreditGrant, CreditReport, RenewRequest, TakeRequest, TakeResponse } from '../common/limitWire.js';
@@ -52,7 +52,7 @@
 		private readonly _renewAtLeader: RenewCredits,
 		private readonly _limitOf: (team: string) => TeamLimit | undefined,
 		private readonly _log: ILogService,
-		private readonly _suspension: ISuspensionWatch = new SuspensionWatch()
+		private readonly _suspension: ISuspensionDetector = new SuspensionDetector()
 	) {
 		super();
 		const timer = setInterval(() => void this._renew(() => true, PERIODIC_RENEW_TIMEOUT_MS), RENEW_INTERVAL_MS);
@@ -123,7 +123,7 @@
 
 	/** Returns all credits after a suspension, during which the leader may have counted them as spent. */
 	private _returnCreditsAfterSuspension(): void {
-		if (this._suspension.takeLeap()) {
+		if (this._suspension.detectSuspension()) {
 			this._suspensionDetectedAt = systemClock.now();
 			this._credits.forEach(credits => credits.returnAll());
 			this._log.warn('machine may have been suspended; returning held credits', { task: 'limits' });
--- a/src/plugins/limits/node/leaderLedger.ts
+++ b/src/plugins/limits/node/leaderLedger.ts
@@ -11,7 +11,7 @@
 import type { TeamLimit } from '../../routes/common/routeTable.js';
 import { CreditLedger } from '../common/creditLedger.js';
 import { LEDGER_PART, LedgerCeilings, type LedgerCommand } from '../common/ledgerCeilings.js';
-import { type ILimitTerms, settlementMs } from '../common/limitTerms.js';
+import { type ILimitPolicy, settlementMs } from '../common/limitPolicy.js';
 import type { RenewRequest, RenewResponse } from '../common/limitWire.js';
 
 /** Teams that need more credits than their ceiling wait for the next update. */
@@ -28,7 +28,7 @@
 	/** @param _limitOf limit of a team in the current route table; undefined for none */
 	constructor(
 		private readonly _agreement: IAgreement,
-		private readonly _policy: ILimitTerms,
+		private readonly _policy: ILimitPolicy,
 		private readonly _limitOf: (team: string) => TeamLimit | undefined,
 		private readonly _log: ILogService
 	) {
--- a/src/plugins/limits/node/limitControlTask.ts
+++ b/src/plugins/limits/node/limitControlTask.ts
@@ -12,7 +12,7 @@
 import { IAgreement } from '../../agreement/common/agreement.js';
 import { IFleetControl } from '../../fleet/common/fleetControl.js';
 import type { TeamLimit } from '../../routes/common/routeTable.js';
-import { ILimitTerms } from '../common/limitTerms.js';
+import { ILimitPolicy } from '../common/limitPolicy.js';
 import { type CreditGrant, renewMethod, type RenewRequest, takeMethod } from '../common/limitWire.js';
 import { CreditHolder } from './creditHolder.js';
 import { LeaderLedger } from './leaderLedger.js';
@@ -26,7 +26,7 @@
 		@IPeerCalls private readonly _calls: IPeerCalls,
 		@IAgreement private readonly _agreement: IAgreement,
 		@IFleetControl fleet: IFleetControl,
-		@ILimitTerms policy: ILimitTerms,
+		@ILimitPolicy policy: ILimitPolicy,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
--- a/src/plugins/limits/node/targetLimitsTask.ts
+++ b/src/plugins/limits/node/targetLimitsTask.ts
@@ -38,7 +38,7 @@
 		super();
 		const { name } = settings.section<InstanceSettings>('instance');
 		this._table = new TargetLimitTable(_session.view, new PaceShare(name, () => _session.ageMs()));
-		_calls.handleUnary(permitMethod, async request => this._table.lend(request, systemClock.now()));
+		_calls.handleUnary(permitMethod, async request => this._table.grantPermit(request, systemClock.now()));
 		this._register(this.onDidChange(({ source }) => source === 'target' && this._reportLimits(true)));
 		const timer = setInterval(() => this._reportLimits(false), REPORT_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
@@ -52,38 +52,38 @@
 		return this._table.perSecond(record, now);
 	}
 
-	isOpen(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean {
-		return this._table.isOpen(record, mayAskOthers, now);
+	hasCapacity(record: TargetRecord, mayAskOthers: boolean, now: Millis): boolean {
+		return this._table.hasCapacity(record, mayAskOthers, now);
 	}
 
-	permitInMs(record: TargetRecord, now: Millis): Millis {
-		return this._table.permitInMs(record, now);
+	permitWaitMs(record: TargetRecord, now: Millis): Millis {
+		return this._table.permitWaitMs(record, now);
 	}
 
-	hear(record: TargetRecord, report: LimitReport): void {
-		this._table.hear(record, report, systemClock.now());
+	applyReport(record: TargetRecord, report: LimitReport): void {
+		this._table.applyReport(record, report, systemClock.now());
 	}
 
 	knownSince(record: TargetRecord): Millis {
 		return this._table.knownSince(record);
 	}
 
-	take(record: TargetRecord): IPermit | undefined | Promise<IPermit | undefined> {
+	acquirePermit(record: TargetRecord): IPermit | undefined | Promise<IPermit | undefined> {
 		const now = systemClock.now();
-		if (this._table.takeOwn(record, now)) {
+		if (this._table.tryTakeOwnPermit(record, now)) {
 			return { giveBack: () => this._table.giveBack(record) };
 		}
-		const provider = this._table.lender(record, now);
+		const provider = this._table.findPermitProvider(record, now);
 		return provider && this._requestPermit(record, provider);
 	}
 
-	limited(): readonly LimitedTarget[] {
+	limitedTargets(): readonly LimitedTarget[] {
 		return this._table.limited(systemClock.now());
 	}
 
 	/** Reports limits to control, which passes them to all instances. */
 	private _reportLimits(isImmediate: boolean): void {
-		this._session.reportLimits(this._table.untold(systemClock.now()), isImmediate);
+		this._session.reportLimits(this._table.unreportedLimits(systemClock.now()), isImmediate);
 	}
 
 	private async _requestPermit(record: TargetRecord, { name, address }: PermitProvider): Promise<IPermit | undefined> {
@@ -93,11 +93,11 @@
 			if (response.isGranted) {
 				return REMOTE_PERMIT;
 			}
-			this._table.noteDenied(record, name, response.waitMs, systemClock.now());
+			this._table.recordDenied(record, name, response.waitMs, systemClock.now());
 		} catch (error) {
 			const reason = (error as Error).message;
 			this._log.warn('cannot get permit from sender', { task: 'limits', target: targetId, sender: name, reason });
-			this._table.noteSilent(name, systemClock.now());
+			this._table.recordUnresponsive(name, systemClock.now());
 		}
 		return undefined;
 	}
--- a/src/plugins/limits/node/teamAdmissionQueue.ts
+++ b/src/plugins/limits/node/teamAdmissionQueue.ts
@@ -6,9 +6,9 @@
 
 import type { Millis } from '../../../base/clock.js';
 import type { TakeResponse } from '../common/limitWire.js';
-import { type LimitAnswer, LimitVerdict } from '../common/teamLimits.js';
+import { type LimitDecision, LimitVerdict } from '../common/teamLimits.js';
 
-const ADMITTED: LimitAnswer = { verdict: LimitVerdict.Admitted, retryAfterMs: 0 };
+const ADMITTED: LimitDecision = { verdict: LimitVerdict.Admitted, retryAfterMs: 0 };
 /** Retry delay if no control instance could be reached, about the time until one is available again. */
 const UNKNOWN_RETRY_AFTER_MS = 300;
 
@@ -20,14 +20,14 @@
  * the number of calls during a surge.
  */
 export class TeamAdmissionQueue {
-	private _waiting: ((decision: LimitAnswer) => void)[] = [];
+	private _waiting: ((decision: LimitDecision) => void)[] = [];
 	private _returned = 0;
 	private _isRequesting = false;
 
 	constructor(private readonly _take: TakeTeamCredits) {}
 
 	/** Waits for a credit for one request. */
-	admit(): Promise<LimitAnswer> {
+	admit(): Promise<LimitDecision> {
 		return new Promise(resolve => {
 			this._waiting.push(resolve);
 			if (!this._isRequesting) {
@@ -55,7 +55,7 @@
 	}
 }
 
-function refusal(retryAfterMs: Millis): LimitAnswer {
+function refusal(retryAfterMs: Millis): LimitDecision {
 	return retryAfterMs > 0
 		? { verdict: LimitVerdict.OverLimit, retryAfterMs }
 		: { verdict: LimitVerdict.Unknown, retryAfterMs: UNKNOWN_RETRY_AFTER_MS };
--- a/src/plugins/limits/node/teamLimitsTask.ts
+++ b/src/plugins/limits/node/teamLimitsTask.ts
@@ -14,7 +14,7 @@
 import { IFleetSession } from '../../fleet/common/fleetSession.js';
 import type { Team } from '../../routes/common/routeTable.js';
 import { takeMethod, type TakeRequest, type TakeResponse } from '../common/limitWire.js';
-import { type ITeamLimits, type LimitAnswer, LimitVerdict } from '../common/teamLimits.js';
+import { type ITeamLimits, type LimitDecision, LimitVerdict } from '../common/teamLimits.js';
 import { TeamAdmissionQueue } from './teamAdmissionQueue.js';
 
 /**
@@ -30,7 +30,7 @@
 const MAX_CONTROL_ATTEMPTS = 2;
 const MAX_PEER_ATTEMPTS = 1;
 
-const ADMITTED: LimitAnswer = { verdict: LimitVerdict.Admitted, retryAfterMs: 0 };
+const ADMITTED: LimitDecision = { verdict: LimitVerdict.Admitted, retryAfterMs: 0 };
 const UNKNOWN: TakeResponse = { granted: 0, retryAfterMs: 0 };
 
 /** Admits requests of teams within their limits. */
@@ -53,7 +53,7 @@
 		await this._calls.listen();
 	}
 
-	admit(team: Team): LimitAnswer | Promise<LimitAnswer> {
+	admit(team: Team): LimitDecision | Promise<LimitDecision> {
 		return team.limit ? this._getOrCreateQueue(team.name).admit() : ADMITTED;
 	}
 
--- a/src/plugins/limits/test/creditHolder.test.ts
+++ b/src/plugins/limits/test/creditHolder.test.ts
@@ -32,7 +32,7 @@
 		() => ({ perSecond: 10, burst: 10 }),
 		LOG,
 		{
-			takeLeap: () => {
+			detectSuspension: () => {
 				const { wasSuspended: hasLeapt } = this;
 				this.wasSuspended = false;
 				return hasLeapt;
--- a/src/plugins/limits/test/limitSimulation.ts
+++ b/src/plugins/limits/test/limitSimulation.ts
@@ -6,12 +6,12 @@
 
 import { CreditLedger } from '../common/creditLedger.js';
 import { LedgerCeilings } from '../common/ledgerCeilings.js';
-import { type ILimitTerms, settlementMs } from '../common/limitTerms.js';
+import { type ILimitPolicy, settlementMs } from '../common/limitPolicy.js';
 import type { CreditGrant, RenewRequest } from '../common/limitWire.js';
 import { TeamCredits } from '../common/teamCredits.js';
 
 /** Limit policy of all simulations. */
-export const POLICY: ILimitTerms = { windowMs: 5000, excess: 0.1, slack: 20 };
+export const POLICY: ILimitPolicy = { windowMs: 5000, excessFraction: 0.1, slackRequests: 20 };
 /** Team of all simulated requests. */
 export const TEAM = 'team';
 /** Number of control instances, unless a test sets another one. */
@@ -169,7 +169,7 @@
 
 	get maxAllowedInWindow(): number {
 		const perWindow = (this.limit.perSecond * POLICY.windowMs) / 1000;
-		return (perWindow + this.limit.burst) * (1 + POLICY.excess) + POLICY.slack;
+		return (perWindow + this.limit.burst) * (1 + POLICY.excessFraction) + POLICY.slackRequests;
 	}
 
 	private _renewAtLeader(request: RenewRequest): CreditGrant {
--- a/src/plugins/limits/test/limits.test.ts
+++ b/src/plugins/limits/test/limits.test.ts
@@ -9,7 +9,7 @@
 import fc from 'fast-check';
 import { sendRandomRequests, LimitSimulation, DEFAULT_HOLDER_COUNT, overload, POLICY } from './limitSimulation.js';
 import { multiLeaderStep, runSteps, singleLeaderStep } from './limitSimulationSteps.js';
-import { CREDIT_LIFETIME_MS, maxRequestsPerWindow } from '../common/limitTerms.js';
+import { CREDIT_LIFETIME_MS, maxRequestsPerWindow } from '../common/limitPolicy.js';
 
 function assertWithinLimit(simulation: LimitSimulation): void {
 	assert.ok(
--- a/src/plugins/membership/common/entryMembership.ts
+++ b/src/plugins/membership/common/entryMembership.ts
@@ -6,7 +6,7 @@
 
 import type { Event } from '../../../base/event.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
-import type { KnownEntry } from './entryRegistry.js';
+import type { RegisteredEntry } from './entryRegistry.js';
 import type { Directory, EntryReport, RegionLoads } from './entryReport.js';
 
 /** The entry instances known to this control instance; only the leader receives the reports of all of them. */
@@ -20,11 +20,11 @@
 	/** The newest loads known here, by region. */
 	readonly loads: readonly RegionLoads[];
 	/** Records a report received over a session with this control instance, and forwards it to the leader. */
-	accept(report: EntryReport): void;
+	addReport(report: EntryReport): void;
 	/** Instances whose last report is within the timeout, by name. */
-	live(): KnownEntry[];
+	live(): RegisteredEntry[];
 	/** Instances whose last report is older than the timeout but within the retention period, by name. */
-	silent(): KnownEntry[];
+	silent(): RegisteredEntry[];
 	/** Milliseconds since this instance last was, or had contact with, a leader that holds a lease. */
 	leaderContactAge(): number;
 }
--- a/src/plugins/membership/common/entryRegistry.ts
+++ b/src/plugins/membership/common/entryRegistry.ts
@@ -8,16 +8,16 @@
 import type { Directory, DirectoryEntry, EntryReport, RegionLoads } from './entryReport.js';
 
 /** One entry instance with its last report. */
-export interface KnownEntry {
+export interface RegisteredEntry {
 	readonly report: EntryReport;
-	readonly heardAt: Millis;
+	readonly lastReportAt: Millis;
 	/** Stays the same object while the entry is unchanged, so that directories can be compared by reference. */
 	readonly directoryEntry: DirectoryEntry;
 }
 
 /** Registry of the entry instances by name. */
 export class EntryRegistry {
-	private readonly _entries = new Map<string, KnownEntry>();
+	private readonly _entries = new Map<string, RegisteredEntry>();
 
 	/**
 	 * @param _timeoutMs an instance without a report for this long counts as silent
@@ -31,27 +31,27 @@
 	/** Records a report, unless a later one is recorded already. */
 	record(report: EntryReport, now: Millis): void {
 		const known = this._entries.get(report.identity.instance);
-		if (!known || now >= known.heardAt) {
+		if (!known || now >= known.lastReportAt) {
 			const directoryEntry =
 				known && isSameEntry(known.directoryEntry, report) ? known.directoryEntry : toDirectoryEntry(report);
-			this._entries.set(report.identity.instance, { report, heardAt: now, directoryEntry });
+			this._entries.set(report.identity.instance, { report, lastReportAt: now, directoryEntry });
 		}
 	}
 
 	/** Instances whose last report is within the timeout. */
-	live(now: Millis): KnownEntry[] {
+	live(now: Millis): RegisteredEntry[] {
 		return this._filterByAge(now, age => age < this._timeoutMs);
 	}
 
 	/** Instances whose last report is older than the timeout but within the retention period. */
-	silent(now: Millis): KnownEntry[] {
+	silent(now: Millis): RegisteredEntry[] {
 		return this._filterByAge(now, age => age >= this._timeoutMs && age < this._retentionMs);
 	}
 
 	/** Removes instances whose last report is older than the retention period. */
 	evictExpired(now: Millis): void {
 		for (const [instance, known] of this._entries) {
-			if (now - known.heardAt >= this._retentionMs) {
+			if (now - known.lastReportAt >= this._retentionMs) {
 				this._entries.delete(instance);
 			}
 		}
@@ -83,8 +83,8 @@
 		}));
 	}
 
-	private _filterByAge(now: Millis, accept: (age: Millis) => boolean): KnownEntry[] {
-		const found = [...this._entries.values()].filter(known => accept(now - known.heardAt));
+	private _filterByAge(now: Millis, accept: (age: Millis) => boolean): RegisteredEntry[] {
+		const found = [...this._entries.values()].filter(known => accept(now - known.lastReportAt));
 		return found.sort((a, b) => (a.report.identity.instance < b.report.identity.instance ? -1 : 1));
 	}
 }
--- a/src/plugins/membership/node/entryMembershipTask.ts
+++ b/src/plugins/membership/node/entryMembershipTask.ts
@@ -9,11 +9,11 @@
 import { Emitter } from '../../../base/event.js';
 import { type ControlPeerSettings, type InstanceSettings } from '../../../kernel/node/instanceSettings.js';
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
-import { IPeerWire } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import { IAgreement } from '../../agreement/common/agreement.js';
 import type { IEntryMembership } from '../common/entryMembership.js';
-import { EntryRegistry, hasSameEntries, type KnownEntry } from '../common/entryRegistry.js';
+import { EntryRegistry, hasSameEntries, type RegisteredEntry } from '../common/entryRegistry.js';
 import {
 	type Directory,
 	type DirectoryEntry,
@@ -76,7 +76,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerTransport private readonly _wire: IPeerTransport,
 		@IAgreement private readonly _agreement: IAgreement
 	) {
 		super();
@@ -95,16 +95,16 @@
 		return this._loads;
 	}
 
-	accept(report: EntryReport): void {
+	addReport(report: EntryReport): void {
 		this._record(report);
 		this._pendingReports.set(report.identity.instance, report);
 	}
 
-	live(): KnownEntry[] {
+	live(): RegisteredEntry[] {
 		return this._registry.live(systemClock.now());
 	}
 
-	silent(): KnownEntry[] {
+	silent(): RegisteredEntry[] {
 		return this._registry.silent(systemClock.now());
 	}
 
--- a/src/plugins/membership/test/entryMembershipTask.test.ts
+++ b/src/plugins/membership/test/entryMembershipTask.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Emitter } from '../../../base/event.js';
-import type { IPeerWire } from '../../../kernel/node/peerWire.js';
+import type { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import type { ISettingsService } from '../../../kernel/node/settingsService.js';
 import type { IAgreement } from '../../agreement/common/agreement.js';
 import type { EntryReport, RegionLoads } from '../common/entryReport.js';
@@ -62,7 +62,7 @@
 			const entries = ['e1', 'e2'].map(instance => ({ identity: reportOf(instance, 0).identity, leaving: false }));
 			return { isLeader: true, directory: { term: 1, version: 1, entries }, loads: PREVIOUS_LOADS };
 		}
-	} as unknown as IPeerWire;
+	} as unknown as IPeerTransport;
 	const task = new EntryMembershipTask(SETTINGS, wire, agreement as unknown as IAgreement);
 	t.after(() => task.dispose());
 	await exchanged;
@@ -70,7 +70,7 @@
 		task.onDidChangeDirectory(directory => directory.term === 2 && resolve());
 	});
 	agreement.isLeading = true;
-	task.accept(reportOf('e1', 0));
+	task.addReport(reportOf('e1', 0));
 	await tookOver;
 	const [loads] = task.loads.find(item => item.region === 'north')!.services;
 	assert.deepEqual(loads, { service: 'grower', instances: ['e1', 'e2'], slots: [0, 6], used: [0, 1] });
--- a/src/plugins/once/common/onceOrders.ts
+++ b/src/plugins/once/common/atMostOnceDispatch.ts
@@ -6,8 +6,8 @@
 
 import { defineUnary } from '../../../kernel/common/peerMethods.js';
 import { createServiceIdentifier } from '../../../kernel/common/serviceIdentifier.js';
-import type { LeaderRequest } from '../../agreement/common/leaderGate.js';
-import type { CarriedRequest, DispatchResult, ResponseSink } from '../../dispatch/common/dispatch.js';
+import type { LeaderRequest } from '../../agreement/common/leaderForwarder.js';
+import type { DispatchRequest, DispatchResult, ResponseSink } from '../../dispatch/common/dispatch.js';
 import type { ClaimResult, OrderOutcome } from './orderLedger.js';
 
 /** Claims an order key for a request. */
@@ -43,7 +43,7 @@
 	 * is replayed instead.
 	 * @throws RequestError when the claim is refused or the dispatch fails, before the sink was started
 	 */
-	dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult>;
+	dispatch(request: DispatchRequest, sink: ResponseSink): Promise<DispatchResult>;
 }
 
 /** Service identifier of at-most-once dispatch. */
--- a/src/plugins/once/node/atMostOnceDispatchService.ts
+++ b/src/plugins/once/node/atMostOnceDispatchService.ts
@@ -8,16 +8,16 @@
 import { RefusalReason, RequestError } from '../../../base/verdict.js';
 import type { ControlPeerSettings, InstanceSettings } from '../../../kernel/node/instanceSettings.js';
 import { ILogService } from '../../../kernel/node/logService.js';
-import { IPeerWire } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import {
-	type CarriedRequest,
+	type DispatchRequest,
 	type DispatchResult,
 	IDispatch,
 	type ResponseSink
 } from '../../dispatch/common/dispatch.js';
 import { ForwardingSink } from '../../dispatch/common/forwardingSink.js';
-import { claimMethod, type IAtMostOnceDispatch, outcomeMethod } from '../common/onceOrders.js';
+import { claimMethod, type IAtMostOnceDispatch, outcomeMethod } from '../common/atMostOnceDispatch.js';
 import type { ClaimResult, OrderOutcome, StoredResponse } from '../common/orderLedger.js';
 
 const CALL_TIMEOUT_MS = 1500;
@@ -36,7 +36,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerTransport private readonly _wire: IPeerTransport,
 		@IDispatch private readonly _dispatch: IDispatch,
 		@ILogService private readonly _log: ILogService
 	) {
@@ -45,7 +45,7 @@
 		this._controls = controls.sort((a, b) => Number(b.hall === hall) - Number(a.hall === hall));
 	}
 
-	async dispatch(request: CarriedRequest, sink: ResponseSink): Promise<DispatchResult> {
+	async dispatch(request: DispatchRequest, sink: ResponseSink): Promise<DispatchResult> {
 		const claim = await this._claim(request);
 		if (claim.kind === 'ran') {
 			return replayResponse(claim.answer, sink);
@@ -65,7 +65,7 @@
 		}
 	}
 
-	private async _claim(request: CarriedRequest): Promise<ClaimResult> {
+	private async _claim(request: DispatchRequest): Promise<ClaimResult> {
 		const { orderKey: key, requestId } = request;
 		const message = { key: key!, digest: requestDigest(request), requestId };
 		let mayBeClaimed = false;
@@ -89,7 +89,7 @@
 	}
 
 	/** Retries a limited number of times. A claim without an outcome stays claimed, so that its request is not run again. */
-	private async _recordOutcome(request: CarriedRequest, outcome: OrderOutcome): Promise<void> {
+	private async _recordOutcome(request: DispatchRequest, outcome: OrderOutcome): Promise<void> {
 		const message = { key: request.orderKey!, requestId: request.requestId, outcome };
 		for (let attempt = 0; attempt < MAX_OUTCOME_ATTEMPTS; attempt++) {
 			const control = this._controls[this._controlIndex % this._controls.length]!;
@@ -110,7 +110,7 @@
 	}
 }
 
-function requestDigest(request: CarriedRequest): string {
+function requestDigest(request: DispatchRequest): string {
 	const { service, group, method, path, body } = request;
 	return createHash('sha256')
 		.update(JSON.stringify([service, group, method, path]))
@@ -121,7 +121,7 @@
 function replayResponse(response: StoredResponse, sink: ResponseSink): DispatchResult {
 	if (!response.body) {
 		const message = 'the request with this key ran; its response was too large to be stored';
-		throw new RequestError('ran', RefusalReason.AnswerNotKept, 409, message);
+		throw new RequestError('ran', RefusalReason.ResponseNotStored, 409, message);
 	}
 	sink.start(response.status, [...response.headers, 'Shelffield-Replayed', 'true']);
 	sink.write(Buffer.from(response.body));
--- a/src/plugins/once/node/orderLedgerService.ts
+++ b/src/plugins/once/node/orderLedgerService.ts
@@ -9,8 +9,8 @@
 import { integerSchema, settingsRegistry } from '../../../kernel/common/settingsRegistry.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import { IAgreement } from '../../agreement/common/agreement.js';
-import { ILeaderGate } from '../../agreement/common/leaderGate.js';
-import { claimMethod, type ClaimRequest, outcomeMethod, type OutcomeRequest } from '../common/onceOrders.js';
+import { ILeaderForwarder } from '../../agreement/common/leaderForwarder.js';
+import { claimMethod, type ClaimRequest, outcomeMethod, type OutcomeRequest } from '../common/atMostOnceDispatch.js';
 import {
 	type ClaimCommand,
 	type ClaimResult,
@@ -48,7 +48,7 @@
 	constructor(
 		@ISettingsService settings: ISettingsService,
 		@IAgreement private readonly _agreement: IAgreement,
-		@ILeaderGate leaderForwarder: ILeaderGate
+		@ILeaderForwarder leaderForwarder: ILeaderForwarder
 	) {
 		this._keepDays = settings.section<OrderSettings>('orders').keepDays;
 		this._agreement.addPart(this._ledger);
--- a/src/plugins/once/once.plugin.ts
+++ b/src/plugins/once/once.plugin.ts
@@ -5,7 +5,7 @@
 /** Registers at-most-once dispatch of requests with an order key. */
 
 import { ContributionPhase, pluginRegistry, ProcessKind } from '../../kernel/common/pluginRegistry.js';
-import { IAtMostOnceDispatch } from './common/onceOrders.js';
+import { IAtMostOnceDispatch } from './common/atMostOnceDispatch.js';
 import { AtMostOnceDispatchService } from './node/atMostOnceDispatchService.js';
 import { OrderLedgerService } from './node/orderLedgerService.js';
 
--- a/src/plugins/operators/node/operatorServer.ts
+++ b/src/plugins/operators/node/operatorServer.ts
@@ -15,7 +15,7 @@
 import type { ControlPeerSettings } from '../../../kernel/node/instanceSettings.js';
 import { ILogService } from '../../../kernel/node/logService.js';
 import { IMetricsService } from '../../../kernel/node/metricsService.js';
-import { IPeerWire } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService, registerCrossCheck } from '../../../kernel/node/settingsService.js';
 import { IAgreement } from '../../agreement/common/agreement.js';
 import { forwardMethod, type OperatorRequest, type OperatorResponse } from '../common/operatorApi.js';
@@ -94,7 +94,7 @@
 		@ISettingsService settings: ISettingsService,
 		@IMetricsService metrics: IMetricsService,
 		@ILogService private readonly _log: ILogService,
-		@IPeerWire private readonly _transport: IPeerWire,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@IAgreement private readonly _agreement: IAgreement,
 		@IOperatorService private readonly _service: IOperatorService
 	) {
@@ -123,7 +123,7 @@
 	}
 
 	drain(): Promise<void> {
-		return this._listener.finish();
+		return this._listener.drain();
 	}
 
 	private async _handle(request: HttpRequest, response: HttpResponse): Promise<void> {
--- a/src/plugins/operators/node/operatorService.ts
+++ b/src/plugins/operators/node/operatorService.ts
@@ -24,7 +24,7 @@
 import { IEntryMembership } from '../../membership/common/entryMembership.js';
 import { forecastHeadroom } from '../../planning/common/headroom.js';
 import { confirmRequestSchema, intentRequestSchema } from '../../planning/common/intentSchema.js';
-import { Measurements } from '../../planning/common/measurements.js';
+import { MeasuredLoads } from '../../planning/common/measuredLoads.js';
 import { draftPlan, PlanningError } from '../../planning/common/planner.js';
 import { IShifts } from '../../shifts/common/shifts.js';
 import type { ControlSteeringSettings } from '../../shifts/common/shiftSettings.js';
@@ -130,7 +130,7 @@
 	private async _submitIntent(body: unknown): Promise<Plan> {
 		const request = validateBody(intentRequestSchema, body);
 		const key = requestKey(request.operator, request.number, ['intent', request.intent, request.baseRevision ?? null]);
-		const storedResult = this._control.state.storedAnswer(key);
+		const storedResult = this._control.state.storedResult(key);
 		if (storedResult) {
 			return planFromResult(storedResult);
 		}
@@ -142,7 +142,7 @@
 	}
 
 	private _assertBaseUnchanged(plan: Plan, baseRevision: Revision): void {
-		const changed = this._control.state.changedSince(plan.touches, baseRevision);
+		const changed = this._control.state.partsChangedSince(plan.touches, baseRevision);
 		if (changed.length === 0) {
 			return;
 		}
@@ -154,10 +154,10 @@
 		const { configuration } = this._control.state;
 		const entries = [...this._membership.live(), ...this._membership.silent()];
 		const regions = [...new Set(entries.map(entry => entry.report.identity.region))].sort();
-		const measuredLoads = new Measurements(this._membership.live(), systemClock.now());
+		const measuredLoads = new MeasuredLoads(this._membership.live(), systemClock.now());
 		const draft = draftPlan(intent, {
 			configuration,
-			measurements: measuredLoads,
+			measuredLoads,
 			regions,
 			lookupTtlMs: this._lookupTtlMs
 		});
@@ -170,10 +170,10 @@
 		}
 		const allowsRegionLossOverload = 'allowOverloadOnRegionLoss' in intent && intent.allowOverloadOnRegionLoss === true;
 		const movesClients = draft.stages.some(stage => stage.moves.length > 0);
-		if (movesClients && forecast.overloadedOnLoss.length > 0 && !allowsRegionLossOverload) {
+		if (movesClients && forecast.regionLossOverloads.length > 0 && !allowsRegionLossOverload) {
 			throw new OperatorError(409, {
 				code: 'overloads-on-region-loss',
-				message: forecast.overloadedOnLoss.join('; '),
+				message: forecast.regionLossOverloads.join('; '),
 				field: 'intent.allowOverloadOnRegionLoss',
 				allowed: 'true, to accept this',
 				verdict: 'not-run'
@@ -190,7 +190,7 @@
 			stages: draft.stages,
 			headroomAfter: forecast.headroomAfter,
 			yields: forecast.yields,
-			warnings: forecast.overloadedOnLoss,
+			warnings: forecast.regionLossOverloads,
 			touches: draft.touches
 		};
 	}
--- a/src/plugins/ownership/node/hallOwnershipTask.ts
+++ b/src/plugins/ownership/node/hallOwnershipTask.ts
@@ -10,7 +10,7 @@
 import { rendezvousRank } from '../../../base/hashing.js';
 import type { ControlPeerSettings, InstanceSettings } from '../../../kernel/node/instanceSettings.js';
 import { ILogService } from '../../../kernel/node/logService.js';
-import { IPeerWire } from '../../../kernel/node/peerWire.js';
+import { IPeerTransport } from '../../../kernel/node/peerTransport.js';
 import { ISettingsService } from '../../../kernel/node/settingsService.js';
 import type { ITargetOwnership } from '../../dispatch/common/targetOwnership.js';
 import { OwnershipLease } from '../common/ownershipLease.js';
@@ -42,7 +42,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerWire private readonly _wire: IPeerWire,
+		@IPeerTransport private readonly _wire: IPeerTransport,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
--- a/src/plugins/ownership/node/takeoverService.ts
+++ b/src/plugins/ownership/node/takeoverService.ts
@@ -8,7 +8,7 @@
 import { Disposable } from '../../../base/disposable.js';
 import { ILogService } from '../../../kernel/node/logService.js';
 import { IAgreement } from '../../agreement/common/agreement.js';
-import { ILeaderGate } from '../../agreement/common/leaderGate.js';
+import { ILeaderForwarder } from '../../agreement/common/leaderForwarder.js';
 import { OWNERSHIP_LEASE_MS } from '../common/ownershipLease.js';
 import { renewMethod, type RenewRequest, type RenewResponse } from '../common/ownershipWire.js';
 import { TAKEOVER_PART, type TakeoverCommand, type TakeoverResult, TakeoverState } from '../common/takeoverState.js';
@@ -24,7 +24,7 @@
 	private _leaderSince = Number.POSITIVE_INFINITY;
 
 	constructor(
-		@ILeaderGate leaderForwarder: ILeaderGate,
+		@ILeaderForwarder leaderForwarder: ILeaderForwarder,
 		@IAgreement private readonly _agreement: IAgreement,
 		@ILogService private readonly _log: ILogService
 	) {
--- a/src/plugins/planning/common/headroom.ts
+++ b/src/plugins/planning/common/headroom.ts
@@ -6,7 +6,7 @@
 
 import { BUCKET_COUNT, type ConfigurationTable } from '../../configuration/common/configuration.js';
 import type { HeadroomEntry, PlanStage, YieldEntry } from '../../configuration/common/intents.js';
-import type { Measurements, RegionLoad } from './measurements.js';
+import type { MeasuredLoads, RegionLoad } from './measuredLoads.js';
 
 /** Expected load of the regions after a plan. */
 export interface HeadroomForecast {
@@ -15,7 +15,7 @@
 	/** Regions and services that the plan would overload. */
 	readonly overloaded: readonly HeadroomEntry[];
 	/** Messages about regions whose loss would overload the others after the plan. */
-	readonly overloadedOnLoss: readonly string[];
+	readonly regionLossOverloads: readonly string[];
 }
 
 /** Measured load of one region and service, and the slots that each group is expected to use. */
@@ -27,7 +27,7 @@
 /** Forecasts the load after all stages from the current load. */
 export function forecastHeadroom(
 	stages: readonly PlanStage[],
-	measuredLoads: Measurements,
+	measuredLoads: MeasuredLoads,
 	configuration: ConfigurationTable
 ): HeadroomForecast {
 	const forecasts = measuredLoads.loads.map(load => ({ load, groups: load.groups.map(group => ({ ...group })) }));
@@ -39,11 +39,11 @@
 		headroomAfter,
 		yields: forecasts.flatMap(forecast => findYields(forecast, configuration)),
 		overloaded: headroomAfter.filter(entry => entry.usedAfter > entry.slots && entry.usedAfter > entry.usedNow),
-		overloadedOnLoss: findOverloadingLosses(headroomAfter)
+		regionLossOverloads: findOverloadingLosses(headroomAfter)
 	};
 }
 
-function moveDemand(stage: PlanStage, forecasts: ForecastLoad[], measuredLoads: Measurements): void {
+function moveDemand(stage: PlanStage, forecasts: ForecastLoad[], measuredLoads: MeasuredLoads): void {
 	for (const move of stage.moves) {
 		for (const range of move.ranges) {
 			const fraction = (range.to - range.from) / BUCKET_COUNT;
--- a/src/plugins/planning/common/measurements.ts
+++ b/src/plugins/planning/common/measuredLoads.ts
@@ -4,7 +4,7 @@
 
 /** Aggregates the reports of entry instances into the load of each region. */
 
-import type { KnownEntry } from '../../membership/common/entryRegistry.js';
+import type { RegisteredEntry } from '../../membership/common/entryRegistry.js';
 import type { Millis } from '../../../base/clock.js';
 
 /** Load of one service in one region, in slots. */
@@ -25,12 +25,12 @@
 }
 
 /** The load of all regions, by region and service. */
-export class Measurements {
+export class MeasuredLoads {
 	readonly loads: RegionLoad[] = [];
 
 	/** @param now current time, on the same clock as the `lastReportAt` of the entries */
-	constructor(entries: readonly KnownEntry[], now: Millis) {
-		for (const { report, heardAt } of entries) {
+	constructor(entries: readonly RegisteredEntry[], now: Millis) {
+		for (const { report, lastReportAt: heardAt } of entries) {
 			const { region } = report.identity;
 			for (const capacity of report.capacity) {
 				const load = this._getOrAddLoad(region, capacity.service);
--- a/src/plugins/planning/common/planner.ts
+++ b/src/plugins/planning/common/planner.ts
@@ -14,7 +14,7 @@
 } from '../../configuration/common/configuration.js';
 import type { Intent, PlacementMove, PlanStage } from '../../configuration/common/intents.js';
 import { compressPlacement, expandPlacement } from '../../configuration/common/placementBuckets.js';
-import type { Measurements } from './measurements.js';
+import type { MeasuredLoads } from './measuredLoads.js';
 
 /** An intent for which no plan can be made. */
 export class PlanningError extends Error {
@@ -32,7 +32,7 @@
 /** State of the system for which a plan is made. */
 export interface PlanningInput {
 	readonly configuration: ConfigurationTable;
-	readonly measurements: Measurements;
+	readonly measuredLoads: MeasuredLoads;
 	/** Regions that have entry instances. */
 	readonly regions: readonly string[];
 	/** Maximum time for which callers may cache a look-up, in milliseconds. */
@@ -119,7 +119,7 @@
 }
 
 function draftDrainChange(item: DrainedItem, present: boolean, input: PlanningInput): PlanDraft {
-	if (input.configuration.isLeaving(item.scope, item.name) === present) {
+	if (input.configuration.isDrained(item.scope, item.name) === present) {
 		const state = present ? 'already drained' : 'not drained';
 		throw new PlanningError('nothing-to-do', `${item.scope} '${item.name}' is ${state}`, 'intent.name');
 	}
@@ -140,12 +140,12 @@
 function draftRegionDrain(region: string, input: PlanningInput): PlanDraft {
 	requireRegion(input, region, 'intent.name');
 	const others = input.regions.filter(
-		name => name !== region && !input.configuration.isLeaving(DrainScope.Region, name)
+		name => name !== region && !input.configuration.isDrained(DrainScope.Region, name)
 	);
 	if (others.length === 0) {
 		throw new PlanningError('no-other-region', `no other region can take the traffic of '${region}'`, 'intent.name');
 	}
-	const regionForBucket = spreadByFreeSlots(others, input.measurements);
+	const regionForBucket = spreadByFreeSlots(others, input.measuredLoads);
 	const transitions = currentPlacements(input).map(placement => ({
 		...placement,
 		desired: placement.current.map((present, bucket) => (present === region ? regionForBucket(bucket) : present))
@@ -190,7 +190,7 @@
 }
 
 /** Distributes buckets over regions in proportion to their free slots; evenly if there are none. */
-function spreadByFreeSlots(regions: readonly string[], measuredLoads: Measurements): (bucket: number) => string {
+function spreadByFreeSlots(regions: readonly string[], measuredLoads: MeasuredLoads): (bucket: number) => string {
 	const freeSlots = regions.map(region => measuredLoads.freeSlots(region));
 	const total = freeSlots.reduce((sum, count) => sum + count, 0);
 	const weights = freeSlots.map(count => (total > 0 ? count / total : 1 / regions.length));
--- a/src/plugins/routes/common/routeTable.ts
+++ b/src/plugins/routes/common/routeTable.ts
@@ -13,11 +13,11 @@
 	/** Each attempt of a caller runs at most once. */
 	AtMostOnce = 'at-most-once',
 	/** As `Repeatable`, with large responses. */
-	LargeAnswer = 'large-answer'
+	LargeResponse = 'large-answer'
 }
 
 /** A service that receives a share of a route's requests. */
-export interface RoutePart {
+export interface WeightedService {
 	readonly service: string;
 	/** Relative to the other services of the route; 0 or more. */
 	readonly weight: number;
@@ -37,7 +37,7 @@
 	/** Priority; 0 is the highest. */
 	readonly rank: number;
 	/** Services that share the requests; at least one. */
-	readonly parts: readonly RoutePart[];
+	readonly parts: readonly WeightedService[];
 	/** Maximum number of targets that one request may be sent to. */
 	readonly attempts: number;
 	/** Whether requests for an object prefer a target that served it recently, which answers faster. */
--- a/src/plugins/routes/common/teamAccess.ts
+++ b/src/plugins/routes/common/teamAccess.ts
@@ -27,7 +27,7 @@
  * Checks a request against the given table.
  * @param keyDigest digest of the caller's key; undefined for none
  */
-export function accessOf(
+export function checkAccess(
 	routes: RouteIndex,
 	route: Route,
 	keyDigest: string | undefined
--- a/src/plugins/routes/test/teams.test.ts
+++ b/src/plugins/routes/test/teams.test.ts
@@ -10,7 +10,7 @@
 import { RouteIndex } from '../common/routeIndex.js';
 import type { Route, RouteTable, Team } from '../common/routeTable.js';
 import { validateRouteTable } from '../common/routeTableValidation.js';
-import { accessOf } from '../common/teamAccess.js';
+import { checkAccess } from '../common/teamAccess.js';
 import { digestKey } from '../common/teamIndex.js';
 import { SAMPLE_ROUTE, sampleTable } from './sampleTable.js';
 
@@ -23,7 +23,7 @@
 }
 
 function access(teams: readonly Team[] | undefined, key: string | undefined, route: Partial<Route> = {}) {
-	return accessOf(new RouteIndex(table(teams)), { ...SAMPLE_ROUTE, ...route }, key && digestKey(key));
+	return checkAccess(new RouteIndex(table(teams)), { ...SAMPLE_ROUTE, ...route }, key && digestKey(key));
 }
 
 test('a key identifies its team; unknown and missing keys are refused, unless the route is public', () => {
--- a/src/plugins/shifts/common/destinationHealth.ts
+++ b/src/plugins/shifts/common/destinationHealth.ts
@@ -5,8 +5,8 @@
 /** Checks whether the destination regions of a stage are fit to receive its traffic. */
 
 import type { PlanStage } from '../../configuration/common/intents.js';
-import type { KnownEntry } from '../../membership/common/entryRegistry.js';
-import { Measurements } from '../../planning/common/measurements.js';
+import type { RegisteredEntry } from '../../membership/common/entryRegistry.js';
+import { MeasuredLoads } from '../../planning/common/measuredLoads.js';
 
 /** Reports older than this are ignored. */
 const MAX_REPORT_AGE_MS = 3000;
@@ -21,11 +21,11 @@
  * Returns the reason why a stage must not begin now, or undefined if it may begin.
  * @param entries all known entry instances, including those with overdue reports
  */
-export function findHoldReason(stage: PlanStage, entries: readonly KnownEntry[], now: number): string | undefined {
+export function findHoldReason(stage: PlanStage, entries: readonly RegisteredEntry[], now: number): string | undefined {
 	const destinations = new Set(stage.moves.flatMap(move => move.ranges.map(range => range.region)));
 	for (const region of [...destinations].sort()) {
 		const regionEntries = entries.filter(entry => entry.report.identity.region === region);
-		const recentEntries = regionEntries.filter(entry => now - entry.heardAt <= MAX_REPORT_AGE_MS);
+		const recentEntries = regionEntries.filter(entry => now - entry.lastReportAt <= MAX_REPORT_AGE_MS);
 		if (recentEntries.length === 0) {
 			return `no reports from ${region} for ${MAX_REPORT_AGE_MS} ms`;
 		}
@@ -43,11 +43,11 @@
 }
 
 function describeOverutilizedService(
-	recentEntries: readonly KnownEntry[],
+	recentEntries: readonly RegisteredEntry[],
 	region: string,
 	now: number
 ): string | undefined {
-	const found = new Measurements(recentEntries, now).loads.find(
+	const found = new MeasuredLoads(recentEntries, now).loads.find(
 		load => load.slots > 0 && load.used / load.slots > MAX_DESTINATION_UTILIZATION
 	);
 	return found && `${region} uses ${Math.round(found.used)} of ${found.slots} slots of ${found.service}`;
--- a/src/plugins/shifts/node/shiftTask.ts
+++ b/src/plugins/shifts/node/shiftTask.ts
@@ -14,7 +14,7 @@
 import { IControlStateService } from '../../configuration/common/controlStateService.js';
 import { type PlanRecord, PlanStatus } from '../../configuration/common/intents.js';
 import { IEntryMembership } from '../../membership/common/entryMembership.js';
-import type { KnownEntry } from '../../membership/common/entryRegistry.js';
+import type { RegisteredEntry } from '../../membership/common/entryRegistry.js';
 import { type ControlSteeringSettings } from '../common/shiftSettings.js';
 import { findHoldReason } from '../common/destinationHealth.js';
 import { ShiftPacing } from '../common/shiftPacing.js';
@@ -136,6 +136,6 @@
 }
 
 /** Returns the highest revision that all given instances have applied; 0 if there are no instances. */
-function minRevisionInForce(entries: readonly KnownEntry[]): number {
+function minRevisionInForce(entries: readonly RegisteredEntry[]): number {
 	return entries.length === 0 ? 0 : Math.min(...entries.map(entry => entry.report.revisionInForce));
 }
--- a/src/plugins/steering/common/blockTable.ts
+++ b/src/plugins/steering/common/addressBlockTable.ts
@@ -33,7 +33,7 @@
 }
 
 /** Immutable table of address ranges; a changed table shares the unchanged chunks. */
-export class BlockTable {
+export class AddressBlockTable {
 	/**
 	 * @param _firstStarts first range start of each chunk
 	 * @param _chunkByPrefix for each value of the upper 16 address bits, the index of the chunk in which a look-up begins; -1 for none
@@ -49,12 +49,12 @@
 	 * @param starts first address of each range, strictly ascending
 	 * @param sites site of each range
 	 */
-	static fromSorted(starts: Uint32Array, sites: Uint8Array): BlockTable {
+	static fromSorted(starts: Uint32Array, sites: Uint8Array): AddressBlockTable {
 		const chunks: Chunk[] = [];
 		for (let i = 0; i < starts.length; i += RANGES_PER_CHUNK) {
 			chunks.push({ starts: starts.slice(i, i + RANGES_PER_CHUNK), sites: sites.slice(i, i + RANGES_PER_CHUNK) });
 		}
-		return BlockTable._fromChunks(chunks);
+		return AddressBlockTable._fromChunks(chunks);
 	}
 
 	/** Number of ranges in the table. */
@@ -83,16 +83,16 @@
 	}
 
 	/** Returns a table with the changes applied in order, yielding to the event loop after each batch. */
-	async withChanges(changes: readonly AddressRangeChange[]): Promise<BlockTable> {
+	async withChanges(changes: readonly AddressRangeChange[]): Promise<AddressBlockTable> {
 		let chunks = [...this._chunks];
 		for (let i = 0; i < changes.length; i += CHANGES_PER_BATCH) {
 			chunks = applyChanges(chunks, changes.slice(i, i + CHANGES_PER_BATCH));
 			await new Promise(resolve => setImmediate(resolve));
 		}
-		return BlockTable._fromChunks(chunks);
+		return AddressBlockTable._fromChunks(chunks);
 	}
 
-	private static _fromChunks(chunks: readonly Chunk[]): BlockTable {
+	private static _fromChunks(chunks: readonly Chunk[]): AddressBlockTable {
 		const firstStarts = Uint32Array.from(chunks, chunk => chunk.starts[0]!);
 		const chunkByPrefix = new Int32Array(PREFIX_COUNT);
 		let index = -1;
@@ -102,7 +102,7 @@
 			}
 			chunkByPrefix[prefix] = index;
 		}
-		return new BlockTable(chunks, firstStarts, chunkByPrefix);
+		return new AddressBlockTable(chunks, firstStarts, chunkByPrefix);
 	}
 }
 
--- a/src/plugins/steering/common/entryRanking.ts
+++ b/src/plugins/steering/common/entryRanking.ts
@@ -38,9 +38,9 @@
 	const { instance, hall, region } = entry.identity;
 	return !(
 		entry.leaving ||
-		table.isLeaving(DrainScope.Instance, instance) ||
-		table.isLeaving(DrainScope.Hall, hall) ||
-		table.isLeaving(DrainScope.Region, region)
+		table.isDrained(DrainScope.Instance, instance) ||
+		table.isDrained(DrainScope.Hall, hall) ||
+		table.isDrained(DrainScope.Region, region)
 	);
 }
 
--- a/src/plugins/steering/common/placementPacer.ts
+++ b/src/plugins/steering/common/placementPacer.ts
@@ -14,7 +14,7 @@
 	type Placement,
 	type Revision
 } from '../../configuration/common/configuration.js';
-import { countMoved, moveTowards } from '../../configuration/common/placementBuckets.js';
+import { countMovedBuckets, moveTowards } from '../../configuration/common/placementBuckets.js';
 
 /** Number of buckets moved at one time. */
 interface RecentMove {
@@ -73,7 +73,7 @@
 		let isComplete = true;
 		for (const paced of this._placements.values()) {
 			this._advancePlacement(paced, now);
-			isComplete &&= countMoved(paced.effective, paced.target) === 0;
+			isComplete &&= countMovedBuckets(paced.effective, paced.target) === 0;
 		}
 		if (isComplete) {
 			this._revisionInForce = this._targetRevision;
@@ -82,7 +82,7 @@
 	}
 
 	private _advancePlacement(paced: PacedPlacement, now: Millis): void {
-		const remaining = countMoved(paced.effective, paced.target);
+		const remaining = countMovedBuckets(paced.effective, paced.target);
 		if (remaining === 0) {
 			return;
 		}
--- a/src/plugins/steering/node/steeringService.ts
+++ b/src/plugins/steering/node/steeringService.ts
@@ -66,7 +66,7 @@
 		const clientKey = addressBlockOf(client);
 		const placement = this._pacer.placement(group, identity.region);
 		const region = regionOfBucket(placement, bucketOf(group, clientKey));
-		const isDisconnected = this._configuration.controlContactAge() > CONTROL_CONTACT_TIMEOUT_MS;
+		const isDisconnected = this._configuration.controlContactAgeMs() > CONTROL_CONTACT_TIMEOUT_MS;
 		const criteria = { service, group, clientKey, region, preferredHall: isDisconnected ? identity.hall : undefined };
 		const entries = directory?.entries ?? [{ identity, leaving: false }];
 		return {
--- a/src/plugins/steering/test/blockTable.test.ts
+++ b/src/plugins/steering/test/addressBlockTable.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { parseIpv4Address, BlockTable, NO_SITE } from '../common/blockTable.js';
+import { parseIpv4Address, AddressBlockTable, NO_SITE } from '../common/addressBlockTable.js';
 
 const SPACE = 6000;
 
@@ -22,7 +22,7 @@
 	await fc.assert(
 		fc.asyncProperty(changes, async list => {
 			const plain = Array.from({ length: SPACE + 10 }, (_unused, address) => address % 7);
-			const start = BlockTable.fromSorted(
+			const start = AddressBlockTable.fromSorted(
 				Uint32Array.from(plain, (_unused, address) => address),
 				Uint8Array.from(plain)
 			);
@@ -35,7 +35,7 @@
 });
 
 test('addresses below the first range have no site, and only IPv4 addresses are parsed', () => {
-	const table = BlockTable.fromSorted(Uint32Array.of(100), Uint8Array.of(3));
+	const table = AddressBlockTable.fromSorted(Uint32Array.of(100), Uint8Array.of(3));
 	assert.equal(table.lookUp(99), NO_SITE);
 	assert.equal(table.lookUp(0xffffffff), 3);
 	assert.equal(parseIpv4Address('10.0.0.255'), 0x0a0000ff);
--- a/src/plugins/steering/test/placementPacer.test.ts
+++ b/src/plugins/steering/test/placementPacer.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ConfigurationTable, type Placement } from '../../configuration/common/configuration.js';
-import { countMoved } from '../../configuration/common/placementBuckets.js';
+import { countMovedBuckets } from '../../configuration/common/placementBuckets.js';
 import { PlacementPacer } from '../common/placementPacer.js';
 
 const CAP = 100;
@@ -28,11 +28,11 @@
 	for (let now = 0; now < 4000; now += 50) {
 		pacer.advance(now);
 		const stages = Math.floor(now / WINDOW_MS) + 1;
-		assert.ok(countMoved(HOME, pacer.placement('g', 'north')) <= stages * CAP, `at ${now} ms`);
+		assert.ok(countMovedBuckets(HOME, pacer.placement('g', 'north')) <= stages * CAP, `at ${now} ms`);
 		assert.equal(pacer.revisionInForce, 1);
 	}
 	pacer.advance(4000);
-	assert.equal(countMoved(HOME, pacer.placement('g', 'north')), 500);
+	assert.equal(countMovedBuckets(HOME, pacer.placement('g', 'north')), 500);
 	assert.equal(pacer.revisionInForce, 6);
 });
 
--- a/test/bench/capacity.ts
+++ b/test/bench/capacity.ts
@@ -11,9 +11,9 @@
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import { encode } from '@msgpack/msgpack';
 import { ControlState } from '../../src/plugins/configuration/common/controlState.js';
-import { BlockTable } from '../../src/plugins/steering/common/blockTable.js';
-import { claimMethod } from '../../src/plugins/once/common/onceOrders.js';
-import { GrpcPeerWire } from '../../src/kernel/node/peerWire.js';
+import { AddressBlockTable } from '../../src/plugins/steering/common/addressBlockTable.js';
+import { claimMethod } from '../../src/plugins/once/common/atMostOnceDispatch.js';
+import { GrpcPeerTransport } from '../../src/kernel/node/peerTransport.js';
 import type { ISettingsService } from '../../src/kernel/node/settingsService.js';
 import { LocalProcess } from '../local/childProcess.js';
 import { LocalSystem } from '../local/localSystem.js';
@@ -31,14 +31,14 @@
 const CLAIM_CONCURRENCIES = [1, 16, 128, 512];
 const CLAIM_MEASURE_MS = 2000;
 
-function createBlockTable(count: number): BlockTable {
+function createBlockTable(count: number): AddressBlockTable {
 	const step = Math.floor(2 ** 32 / count);
 	const starts = Uint32Array.from({ length: count }, (_unused, i) => i * step);
 	const sites = Uint8Array.from({ length: count }, (_unused, i) => (i * 7919) % SITE_COUNT);
-	return BlockTable.fromSorted(starts, sites);
+	return AddressBlockTable.fromSorted(starts, sites);
 }
 
-function measureLookups(table: BlockTable): number {
+function measureLookups(table: AddressBlockTable): number {
 	const addresses = Uint32Array.from({ length: 65536 }, () => Math.floor(Math.random() * 2 ** 32));
 	const startedAt = performance.now();
 	let sum = 0;
@@ -49,7 +49,7 @@
 	return sum >= 0 ? Math.round(LOOKUP_COUNT / seconds) : 0;
 }
 
-async function measureChanges(table: BlockTable, count: number) {
+async function measureChanges(table: AddressBlockTable, count: number) {
 	const changes = Array.from({ length: count }, () => {
 		const from = Math.floor(Math.random() * (2 ** 32 - 70000));
 		return { from, to: from + 65536, site: Math.floor(Math.random() * SITE_COUNT) };
@@ -148,11 +148,15 @@
 	share: number
 ): Promise<number> {
 	const intent = { kind: 'share', group: 'default', share };
-	const planned = await system.operator(control, 'POST', '/v1/intents', { operator: 'bench', number, intent });
+	const planned = await system.sendOperatorRequest(control, 'POST', '/v1/intents', {
+		operator: 'bench',
+		number,
+		intent
+	});
 	const plan = planned.body as { planId: string; digest: string };
 	const startedAt = performance.now();
 	const body = { operator: 'bench', number: number + 1, digest: plan.digest };
-	await system.operator(control, 'POST', `/v1/plans/${plan.planId}/confirm`, body);
+	await system.sendOperatorRequest(control, 'POST', `/v1/plans/${plan.planId}/confirm`, body);
 	return performance.now() - startedAt;
 }
 
@@ -162,7 +166,7 @@
 		namedSections: <T>(): ReadonlyMap<string, T> => new Map(),
 		reload: () => []
 	};
-	const wire = new GrpcPeerWire(settings);
+	const wire = new GrpcPeerTransport(settings);
 	const leader = await system.leader();
 	const today = new Date().toISOString().slice(0, 10);
 	const results = [];
--- a/test/bench/stubSubscribers.ts
+++ b/test/bench/stubSubscribers.ts
@@ -10,7 +10,7 @@
  */
 
 import { encode } from '@msgpack/msgpack';
-import { GrpcPeerWire } from '../../src/kernel/node/peerWire.js';
+import { GrpcPeerTransport } from '../../src/kernel/node/peerTransport.js';
 import type { ISettingsService } from '../../src/kernel/node/settingsService.js';
 import { sessionMethod, type SessionUpdate } from '../../src/plugins/configuration/common/configurationSession.js';
 import type { EntryReport } from '../../src/plugins/membership/common/entryReport.js';
@@ -46,7 +46,7 @@
 	namedSections: <T>(): ReadonlyMap<string, T> => new Map(),
 	reload: () => []
 };
-const wire = new GrpcPeerWire(settings);
+const wire = new GrpcPeerTransport(settings);
 
 let bytesDown = 0;
 let bytesUp = 0;
--- a/test/faults/matrix.ts
+++ b/test/faults/matrix.ts
@@ -90,7 +90,7 @@
 	async sendOperatorRequest(path: string, body: object): Promise<{ status: number; body: unknown }> {
 		for (let i = 0; ; i++) {
 			const control = this.system.controls[i % this.system.controls.length]!;
-			const response = await this.system.operator(control, 'POST', path, body).catch(() => undefined);
+			const response = await this.system.sendOperatorRequest(control, 'POST', path, body).catch(() => undefined);
 			if (response && response.status !== 503) {
 				return response;
 			}
@@ -115,7 +115,7 @@
 	async waitUntilActive(): Promise<void> {
 		for (;;) {
 			const leader = await this.system.leader();
-			const response = await this.system.operator(leader, 'GET', '/v1/status').catch(() => undefined);
+			const response = await this.system.sendOperatorRequest(leader, 'GET', '/v1/status').catch(() => undefined);
 			const status = response?.body as {
 				revision: number;
 				groups: { name: string; share: number }[];
--- a/test/integration/badInput.test.ts
+++ b/test/integration/badInput.test.ts
@@ -288,12 +288,12 @@
 test(`${operatorCases.length} invalid requests of operators are rejected and change nothing`, async () => {
 	const leader = await system.leader();
 	for (const { body, status, expectedBody } of operatorCases) {
-		const response = await system.operator(leader, 'POST', '/v1/intents', body);
+		const response = await system.sendOperatorRequest(leader, 'POST', '/v1/intents', body);
 		const text = JSON.stringify(response.body);
 		assert.equal(response.status, status, text);
 		assert.match(text, expectedBody);
 	}
-	const confirmed = await system.operator(leader, 'POST', '/v1/plans/00ff/confirm', {
+	const confirmed = await system.sendOperatorRequest(leader, 'POST', '/v1/plans/00ff/confirm', {
 		...operatorFields,
 		digest: '0'.repeat(64)
 	});
@@ -301,6 +301,6 @@
 	const unauthorized = await request(`${leader.url}/v1/status`, { headers: { authorization: 'Bearer wrong' } });
 	assert.equal(unauthorized.statusCode, 401);
 	await unauthorized.body.dump();
-	const status = await system.operator(leader, 'GET', '/v1/status');
+	const status = await system.sendOperatorRequest(leader, 'GET', '/v1/status');
 	assert.equal((status.body as { revision: number }).revision, 1);
 });
--- a/test/integration/control.test.ts
+++ b/test/integration/control.test.ts
@@ -69,7 +69,7 @@
 async function sendUntilFinal(path: string, body: object, controls: readonly LocalControl[]) {
 	for (let i = 0; ; i++) {
 		const control = controls[i % controls.length]!;
-		const response = await system.operator(control, 'POST', path, body).catch(() => undefined);
+		const response = await system.sendOperatorRequest(control, 'POST', path, body).catch(() => undefined);
 		if (response && response.status !== 503) {
 			return response;
 		}
@@ -108,7 +108,7 @@
 async function waitForVoters(count: number): Promise<void> {
 	for (;;) {
 		const leader = await system.leader();
-		const status = await system.operator(leader, 'GET', '/v1/status');
+		const status = await system.sendOperatorRequest(leader, 'GET', '/v1/status');
 		const members = (status.body as { members?: { role: string }[] }).members ?? [];
 		if (members.filter(member => member.role === 'voter').length === count) {
 			return;
@@ -150,7 +150,7 @@
 	const { ms, result } = await measureMs(() => confirmIntent(shareIntent(300), others));
 	t.diagnostic(`from the suspension until a plan is made, confirmed and in force: ${ms.toFixed(0)} ms`);
 	leader.process.signal('SIGCONT');
-	const status = await system.operator(leader, 'GET', '/v1/status');
+	const status = await system.sendOperatorRequest(leader, 'GET', '/v1/status');
 	if (status.status === 200) {
 		assert.ok((status.body as { revision: number }).revision >= result.revision);
 	}
--- a/test/integration/leaving.test.ts
+++ b/test/integration/draining.test.ts
@@ -58,11 +58,11 @@
 async function confirmIntent(intent: object): Promise<string> {
 	const leader = await system.leader();
 	const body = { operator: 'ana', number: nextRequestNumber++, intent };
-	const planned = await system.operator(leader, 'POST', '/v1/intents', body);
+	const planned = await system.sendOperatorRequest(leader, 'POST', '/v1/intents', body);
 	assert.equal(planned.status, 200, JSON.stringify(planned.body));
 	const { planId, digest } = planned.body as { planId: string; digest: string };
 	const confirmation = { operator: 'ana', number: nextRequestNumber++, digest };
-	const confirmed = await system.operator(leader, 'POST', `/v1/plans/${planId}/confirm`, confirmation);
+	const confirmed = await system.sendOperatorRequest(leader, 'POST', `/v1/plans/${planId}/confirm`, confirmation);
 	assert.equal(confirmed.status, 200, JSON.stringify(confirmed.body));
 	return planId;
 }
@@ -182,7 +182,7 @@
 	const restarted = system.restart(victim);
 	for (;;) {
 		samples.push({ at: Date.now(), regions: await lookUpFirstRegions(observedEntry.url) });
-		const record = await system.operator(await system.leader(), 'GET', `/v1/plans/${planId}`);
+		const record = await system.sendOperatorRequest(await system.leader(), 'GET', `/v1/plans/${planId}`);
 		if ((record.body as { status: string }).status === 'done') {
 			break;
 		}
--- a/test/integration/thinPath.test.ts
+++ b/test/integration/endToEnd.test.ts
@@ -62,17 +62,21 @@
 test('an intent is planned, confirmed and in force at all instances, and clients move in stages', async () => {
 	const control = system.controls[1]!;
 	const intent = { kind: 'prefer', group: 'growers', region: 'south' };
-	const planned = await system.operator(control, 'POST', '/v1/intents', { operator: 'ana', number: 1, intent });
+	const planned = await system.sendOperatorRequest(control, 'POST', '/v1/intents', {
+		operator: 'ana',
+		number: 1,
+		intent
+	});
 	assert.equal(planned.status, 200, JSON.stringify(planned.body));
 	const plan = planned.body as { planId: string; digest: string; stages: unknown[] };
 	assert.equal(plan.stages.length, 2);
 	const confirmation = { operator: 'ana', number: 2, digest: plan.digest };
-	const confirmed = await system.operator(control, 'POST', `/v1/plans/${plan.planId}/confirm`, confirmation);
+	const confirmed = await system.sendOperatorRequest(control, 'POST', `/v1/plans/${plan.planId}/confirm`, confirmation);
 	assert.equal(confirmed.status, 200, JSON.stringify(confirmed.body));
 	const { inForce } = confirmed.body as { inForce: { count: number; of: number; missing: string[] } };
 	assert.deepEqual(inForce, { count: 9, of: 9, missing: [] });
 	for (;;) {
-		const record = await system.operator(control, 'GET', `/v1/plans/${plan.planId}`);
+		const record = await system.sendOperatorRequest(control, 'GET', `/v1/plans/${plan.planId}`);
 		if ((record.body as { status: string }).status === 'done') {
 			break;
 		}
--- a/test/loads/fleetModel.ts
+++ b/test/loads/fleetModel.ts
@@ -263,7 +263,7 @@
 	/** Schedules the update of control's target records with the limits that an instance has learned. */
 	private _reportLimits(limits: TargetLimitTable): void {
 		this._schedule(this.now + LIMIT_REPORT_MS, () => {
-			for (const { id, perSecond } of limits.untold(this.now)) {
+			for (const { id, perSecond } of limits.unreportedLimits(this.now)) {
 				const index = this._records.findIndex(record => record.id === id);
 				const { limitPerSecond, ...record } = this._records[index]!;
 				if ((limitPerSecond ?? null) !== perSecond) {
@@ -409,7 +409,7 @@
 		}
 		const { record } = chosen.known;
 		const isLimited = instance.limits.perSecond(record, this.now) !== undefined;
-		if (!isLimited || instance.limits.takeOwn(record, this.now)) {
+		if (!isLimited || instance.limits.tryTakeOwnPermit(record, this.now)) {
 			this._sendTo(instance, context, chosen, request);
 		} else {
 			this._requestPermit(instance, context, chosen, request);
@@ -424,7 +424,7 @@
 		request: CallerRequest
 	): void {
 		const { record } = chosen.known;
-		const provider = instance.limits.lender(record, this.now);
+		const provider = instance.limits.findPermitProvider(record, this.now);
 		const peer = this._instances.find(({ name }) => name === provider?.name);
 		if (!peer) {
 			context.permitsDenied++;
@@ -440,17 +440,17 @@
 		};
 		if (this._nextRandom() < (this._settings.callLossRatio ?? 0)) {
 			this._schedule(this.now + PEER_CALL_TIMEOUT_MS, () =>
-				deny(() => instance.limits.noteSilent(peer.name, this.now))
+				deny(() => instance.limits.recordUnresponsive(peer.name, this.now))
 			);
 			return;
 		}
 		this._schedule(this.now + roundTripMs / 2, () => {
-			const { isGranted, waitMs } = peer.limits.lend({ targetId: record.id, bornAt: record.bornAt }, this.now);
+			const { isGranted, waitMs } = peer.limits.grantPermit({ targetId: record.id, bornAt: record.bornAt }, this.now);
 			this._schedule(this.now + roundTripMs / 2, () => {
 				if (isGranted) {
 					this._sendTo(instance, context, chosen, request);
 				} else {
-					deny(() => instance.limits.noteDenied(record, peer.name, waitMs, this.now));
+					deny(() => instance.limits.recordDenied(record, peer.name, waitMs, this.now));
 				}
 			});
 		});
@@ -509,7 +509,7 @@
 		requestSentAt: Millis
 	): void {
 		if (this._settings.limitEnforcement !== 'ignored') {
-			instance.limits.hear(known.record, { perSecond: limit, askedAt: requestSentAt }, this.now);
+			instance.limits.applyReport(known.record, { perSecond: limit, requestSentAt }, this.now);
 		}
 	}
 
--- a/test/local/localSystem.ts
+++ b/test/local/localSystem.ts
@@ -130,7 +130,7 @@
 	async leader(): Promise<LocalControl> {
 		for (;;) {
 			for (const control of this.controls.filter(item => !item.process.hasExited)) {
-				const status = await this.operator(control, 'GET', '/v1/status').catch(() => undefined);
+				const status = await this.sendOperatorRequest(control, 'GET', '/v1/status').catch(() => undefined);
 				if (status?.status === 200) {
 					return this.control((status.body as { leader: string }).leader);
 				}
@@ -140,7 +140,7 @@
 	}
 
 	/** Sends an operator's request to a control instance. */
-	async operator(
+	async sendOperatorRequest(
 		control: LocalControl,
 		method: 'GET' | 'POST',
 		path: string,
--- a/test/platform/largeBodies.test.ts
+++ b/test/platform/largeBodies.test.ts
@@ -9,8 +9,8 @@
 
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { DiscoveredSystem, routeDocument, until } from './discoveredSystem.js';
-import { StandInTarget } from './standInTarget.js';
+import { PlatformTestSystem, createConfigDocument, waitFor } from './platformTestSystem.js';
+import { TestTarget } from './testTarget.js';
 
 const ROUTES = [{ prefix: '/order/', kind: 'unsafe', service: 'orders' }] as const;
 const BODY_BYTES = 500000;
@@ -18,26 +18,26 @@
 const COLD_START_MS = 3000;
 /** Time within which an entry instance learns of a new target. */
 const DISCOVERY_MS = 1500;
-const system = new DiscoveredSystem(3, 1);
+const system = new PlatformTestSystem(3, 1);
 const [entry] = system.entries as [(typeof system.entries)[0]];
 const [listening, notListening] = [1, 2].map(
 	index =>
-		new StandInTarget({
+		new TestTarget({
 			id: `i-${index}`,
 			host: system.targetHost(index),
 			port: 8080,
 			slots: 40,
 			workMs: 5,
-			answerBytes: 20
+			paddingBytes: 20
 		})
-) as [StandInTarget, StandInTarget];
+) as [TestTarget, TestTarget];
 
 before(async () => {
 	await listening.listen();
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES), 0);
+	await system.publish(createConfigDocument(1, ROUTES), 0);
 	await system.sendHeartbeat(listening, 'orders');
-	await until('requests are served', async () =>
+	await waitFor('requests are served', async () =>
 		(await system.request(entry, 'POST', '/order/1', { body: 'x' })).status === 200 ? true : undefined
 	);
 });
@@ -56,7 +56,7 @@
 		system.request(entry, 'POST', '/order/1', { id: `large-${i}`, body, headers: { Cookie: `Affinity-Key=${i}` } })
 	);
 	const statuses = (await Promise.all(responses)).map(({ status }) => status);
-	const received = listening.ran.filter(request => request.id.startsWith('large-'));
+	const received = listening.executedRequests.filter(request => request.id.startsWith('large-'));
 	assert.deepEqual(
 		received.filter(request => request.body.length !== BODY_BYTES).map(request => request.body.length),
 		[]
--- a/test/platform/limitedTargets.test.ts
+++ b/test/platform/limitedTargets.test.ts
@@ -9,8 +9,14 @@
 
 import assert from 'node:assert/strict';
 import { after, afterEach, before, test } from 'node:test';
-import { DiscoveredSystem, type HttpResponse, type Instance, routeDocument, until } from './discoveredSystem.js';
-import { StandInTarget } from './standInTarget.js';
+import {
+	PlatformTestSystem,
+	type HttpResponse,
+	type Instance,
+	createConfigDocument,
+	waitFor
+} from './platformTestSystem.js';
+import { TestTarget } from './testTarget.js';
 
 const ROUTES = [
 	{ prefix: '/read/', kind: 'safe', service: 'reads' },
@@ -34,19 +40,19 @@
 /** Start time of the next incarnation of a target, as Unix milliseconds. */
 const RESTARTED_AT_MS = 1767630000000;
 
-const system = new DiscoveredSystem(3, 5);
+const system = new PlatformTestSystem(3, 5);
 const targets = [1, 2, 3, 4].map(
 	index =>
-		new StandInTarget({
+		new TestTarget({
 			id: `i-${index}`,
 			host: system.targetHost(index),
 			port: 8080,
 			slots: 9,
 			workMs: 5,
-			answerBytes: 20
+			paddingBytes: 20
 		})
 );
-const [limitedTarget] = targets as [StandInTarget];
+const [limitedTarget] = targets as [TestTarget];
 let sentCount = 0;
 
 /** The outcome of a request; status 0 if there was no response. */
@@ -95,7 +101,7 @@
 }
 
 /** Maximum number of arrivals in any window that begins at the start time or later. */
-function maxArrivalsInWindow({ arrivalTimes }: StandInTarget, startTime: number): number {
+function maxArrivalsInWindow({ arrivalTimes }: TestTarget, startTime: number): number {
 	const times = arrivalTimes.filter(at => at >= startTime);
 	return Math.max(0, ...times.map((at, i) => times.filter(other => other < at + WINDOW_MS).length - i));
 }
@@ -104,11 +110,11 @@
 	return Math.floor((EXCESS_FACTOR * perSecond * WINDOW_MS) / 1000 + SLACK_REQUESTS);
 }
 
-function setReportedLimit(target: StandInTarget, perSecond: number | undefined): void {
+function setReportedLimit(target: TestTarget, perSecond: number | undefined): void {
 	target.extraHeaders = perSecond === undefined ? {} : { 'Server-Limit': String(perSecond) };
 }
 
-function assertWithinLimit(target: StandInTarget, perSecond: number, startTime: number): void {
+function assertWithinLimit(target: TestTarget, perSecond: number, startTime: number): void {
 	const max = maxArrivalsInWindow(target, startTime);
 	assert.ok(
 		max <= maxAllowedInWindow(perSecond),
@@ -124,7 +130,7 @@
 /** Waits until each entry instance sends requests to each target. */
 async function waitUntilAllTargetsUsed(): Promise<void> {
 	for (const entry of system.entries) {
-		await until(
+		await waitFor(
 			'all targets get requests from each instance',
 			async () => {
 				const arrivalsBefore = targets.map(({ arrivalTimes }) => arrivalTimes.length);
@@ -139,8 +145,8 @@
 before(async () => {
 	await Promise.all(targets.map(target => target.listen()));
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES), 0);
-	await until('all instances are ready', async () =>
+	await system.publish(createConfigDocument(1, ROUTES), 0);
+	await waitFor('all instances are ready', async () =>
 		(await Promise.all(system.entries.map(entry => system.isReady(entry)))).every(isReady => isReady) ? true : undefined
 	);
 	await Promise.all(targets.map(target => system.sendHeartbeat(target, 'reads')));
@@ -210,10 +216,10 @@
 	const loadFinished = sendLoad(LIMIT_PROPAGATION_MS + 9000);
 	await delay(LIMIT_PROPAGATION_MS);
 	const [entry] = system.entries as [Instance];
-	await system.end(entry, 'SIGKILL');
+	await system.stop(entry, 'SIGKILL');
 	system.start(entry, false);
 	await delay(2000);
-	await Promise.all(system.controls.map(control => system.end(control, 'SIGKILL')));
+	await Promise.all(system.controls.map(control => system.stop(control, 'SIGKILL')));
 	await delay(2500);
 	system.controls.forEach(control => system.start(control, false));
 	await loadFinished;
--- a/test/platform/discoveredSystem.ts
+++ b/test/platform/platformTestSystem.ts
@@ -10,7 +10,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { OUT_FOLDER } from '../local/childProcess.js';
-import type { StandInTarget } from './standInTarget.js';
+import type { TestTarget } from './testTarget.js';
 
 const PEER_PORT = 7600;
 const CONTROL_PORT = 8146;
@@ -42,7 +42,7 @@
 let systemCount = 0;
 
 /** Sends an HTTP request on a new connection; rejects if the connection is idle for the timeout (3 s by default). */
-export function ask(
+export function sendHttpRequest(
 	method: string,
 	url: string,
 	options: { headers?: Record<string, string>; body?: string; timeoutMs?: number } = {}
@@ -70,7 +70,7 @@
 }
 
 /** Polls until the callback resolves with a value; a rejected poll counts as one without. Throws after the timeout. */
-export async function until<T>(
+export async function waitFor<T>(
 	description: string,
 	poll: () => Promise<T | undefined>,
 	timeoutMs = DEFAULT_TIMEOUT_MS
@@ -89,7 +89,7 @@
 }
 
 /** The processes of one test system; their settings and data are in a temporary folder. */
-export class DiscoveredSystem {
+export class PlatformTestSystem {
 	readonly controls: Instance[] = [];
 	readonly entries: Instance[] = [];
 	private readonly _folder = mkdtempSync(join(tmpdir(), 'shelffield-'));
@@ -129,7 +129,7 @@
 	}
 
 	/** Sends a signal to a process and waits for its exit; returns its exit code, or null if the signal ended it or it was not running. */
-	async end(instance: Instance, signal: NodeJS.Signals): Promise<number | null> {
+	async stop(instance: Instance, signal: NodeJS.Signals): Promise<number | null> {
 		const { child } = instance;
 		if (!child || child.exitCode !== null || child.signalCode !== null) {
 			return null;
@@ -140,7 +140,7 @@
 	}
 
 	/** Deletes the data folder of a control instance, as if its disk was lost. */
-	wipe(instance: Instance): void {
+	deleteData(instance: Instance): void {
 		rmSync(this._dataFolder(instance), { recursive: true, force: true });
 	}
 
@@ -154,7 +154,7 @@
 
 	/** Kills all processes and deletes the temporary folder. */
 	async stopAll(): Promise<void> {
-		await Promise.all([...this.entries, ...this.controls].map(instance => this.end(instance, 'SIGKILL')));
+		await Promise.all([...this.entries, ...this.controls].map(instance => this.stop(instance, 'SIGKILL')));
 		rmSync(this._folder, { recursive: true, force: true });
 	}
 
@@ -162,7 +162,7 @@
 	 * Calls the control API of an instance.
 	 * @param baseVersion version that the change is based on, sent as If-Match
 	 */
-	control(
+	callControl(
 		instance: Instance,
 		method: string,
 		path: string,
@@ -171,12 +171,15 @@
 		timeoutMs?: number
 	): Promise<HttpResponse> {
 		const headers = baseVersion === undefined ? undefined : { 'If-Match': String(baseVersion) };
-		return ask(method, `http://${instance.ip}:${CONTROL_PORT}${path}`, { headers, body, timeoutMs });
+		return sendHttpRequest(method, `http://${instance.ip}:${CONTROL_PORT}${path}`, { headers, body, timeoutMs });
 	}
 
 	/** Looks up entry instances at the directory of a control instance, for a client in the given data hall. */
 	lookUp(instance: Instance, hall: string): Promise<HttpResponse> {
-		return ask('GET', `http://${instance.ip}:${DIRECTORY_PORT}/api/resolve?name=h&region=region-1&zone=${hall}`);
+		return sendHttpRequest(
+			'GET',
+			`http://${instance.ip}:${DIRECTORY_PORT}/api/resolve?name=h&region=region-1&zone=${hall}`
+		);
 	}
 
 	/** Sends a caller's request to an entry instance, by default with a new request id and a deadline of 3 s. */
@@ -192,7 +195,11 @@
 			'Deadline-Ms': String(options.remainingMs ?? 3000),
 			...options.headers
 		};
-		return ask(method, `http://${entry.ip}:${CALLER_PORT}${path}`, { headers, body: options.body, timeoutMs: 6000 });
+		return sendHttpRequest(method, `http://${entry.ip}:${CALLER_PORT}${path}`, {
+			headers,
+			body: options.body,
+			timeoutMs: 6000
+		});
 	}
 
 	/** Base URL of the metrics and operators' pages of an instance. */
@@ -201,20 +208,20 @@
 	}
 
 	/** Base URL of an entry instance for callers. */
-	frontUrl(entry: Instance): string {
+	callerUrl(entry: Instance): string {
 		return `http://${entry.ip}:${CALLER_PORT}`;
 	}
 
 	/** Whether the readiness check of an entry instance succeeds. */
 	async isReady(entry: Instance): Promise<boolean> {
-		return (await ask('GET', `http://${entry.ip}:${READY_PORT}/readyz`)).status === 200;
+		return (await sendHttpRequest('GET', `http://${entry.ip}:${READY_PORT}/readyz`)).status === 200;
 	}
 
 	/** Publishes a configuration document through the first control instance that accepts it; retries until one does. */
 	async publish(document: string, baseVersion: number): Promise<void> {
-		await until('a configuration is accepted', async () => {
+		await waitFor('a configuration is accepted', async () => {
 			for (const instance of this.controls) {
-				const response = await this.control(instance, 'PUT', '/api/config', document, baseVersion).catch(
+				const response = await this.callControl(instance, 'PUT', '/api/config', document, baseVersion).catch(
 					() => undefined
 				);
 				if (response?.status === 200) {
@@ -230,7 +237,7 @@
 	 * @param born start time of the incarnation of the target, as Unix milliseconds; left out of the heartbeat where it is undefined
 	 */
 	async sendHeartbeat(
-		target: StandInTarget,
+		target: TestTarget,
 		service: string,
 		state = 'ready',
 		coldLeft = '0ms',
@@ -243,9 +250,9 @@
 			info: { service, version: 'v1', zone: 'hall-1', slots },
 			status: { state, seq: ++this._lastSequence, cold_left: coldLeft }
 		});
-		await until('a heartbeat is accepted', async () => {
+		await waitFor('a heartbeat is accepted', async () => {
 			for (const instance of this.controls) {
-				const response = await this.control(instance, 'PUT', `/api/instances/${id}`, body).catch(() => undefined);
+				const response = await this.callControl(instance, 'PUT', `/api/instances/${id}`, body).catch(() => undefined);
 				if (response?.status === 200) {
 					return true;
 				}
@@ -317,7 +324,7 @@
  * Creates a configuration document, in the JSON form of the control API.
  * @param maxConnections maximum number of connections to a target, from all entry instances together
  */
-export function routeDocument(
+export function createConfigDocument(
 	version: number,
 	routes: readonly ConfigRoute[],
 	teams?: readonly ConfigTeam[],
--- a/test/platform/quarantine.test.ts
+++ b/test/platform/quarantine.test.ts
@@ -10,7 +10,13 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { QuarantineList } from '../../src/plugins/fleet/common/quarantineApi.js';
-import { ask, DiscoveredSystem, type Instance, routeDocument, until } from './discoveredSystem.js';
+import {
+	sendHttpRequest,
+	PlatformTestSystem,
+	type Instance,
+	createConfigDocument,
+	waitFor
+} from './platformTestSystem.js';
 import { type LostRun, RestartingTargets } from './restartingTargets.js';
 
 const ROUTES = [
@@ -29,7 +35,7 @@
 /** Time for which restarted targets get fewer requests; each test starts with all targets after their cold start. */
 const COLD_START_MS = 3000;
 
-const system = new DiscoveredSystem(3, 3);
+const system = new PlatformTestSystem(3, 3);
 const targets = new RestartingTargets(system, {
 	service: 'reads',
 	count: 12,
@@ -57,8 +63,8 @@
 
 /** Number of quarantined requests in the first response of a control instance that is not 503. */
 function firstListedCount(control: Instance): Promise<number> {
-	return until('the quarantine is listed', async () => {
-		const { status, body } = await ask('GET', `${system.metricsUrl(control)}/quarantine`);
+	return waitFor('the quarantine is listed', async () => {
+		const { status, body } = await sendHttpRequest('GET', `${system.metricsUrl(control)}/quarantine`);
 		return status === 503 ? undefined : (JSON.parse(body) as QuarantineList).requests.length;
 	});
 }
@@ -75,17 +81,17 @@
 
 /** Waits until an instance rejects the request as quarantined; until its state is current it may reject it for another reason. */
 async function waitUntilQuarantined(entry: Instance): Promise<void> {
-	await until('the request is rejected as quarantined', async () =>
+	await waitFor('the request is rejected as quarantined', async () =>
 		(await rejectionReason(entry, '/read/fatal')) === 'quarantined' ? true : undefined
 	);
 }
 
 before(async () => {
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES), 0);
+	await system.publish(createConfigDocument(1, ROUTES), 0);
 	await targets.start();
 	for (const entry of system.entries) {
-		await until('requests are served', () => isServed(entry));
+		await waitFor('requests are served', () => isServed(entry));
 	}
 });
 
@@ -123,11 +129,11 @@
 test('a restarted instance rejects a quarantined request from its first response on, also after a restart of all instances', async () => {
 	const lostRunsBefore = targets.lostRuns.length;
 	const [first] = system.entries as [Instance];
-	await system.end(first, 'SIGKILL');
+	await system.stop(first, 'SIGKILL');
 	system.start(first, false);
 	await waitUntilQuarantined(first);
 	const all = [...system.controls, ...system.entries];
-	await Promise.all(all.map(instance => system.end(instance, 'SIGKILL')));
+	await Promise.all(all.map(instance => system.stop(instance, 'SIGKILL')));
 	all.forEach(instance => system.start(instance, false));
 	await Promise.all(system.entries.map(waitUntilQuarantined));
 	assert.equal(targets.lostRuns.length, lostRunsBefore);
@@ -135,7 +141,7 @@
 
 /** Guards against a control instance that lists an incomplete quarantine while its replica is still catching up. */
 test('a control instance that has just started lists all quarantined requests, or responds with 503', async () => {
-	await Promise.all(system.controls.map(control => system.end(control, 'SIGKILL')));
+	await Promise.all(system.controls.map(control => system.stop(control, 'SIGKILL')));
 	system.controls.forEach(control => system.start(control, false));
 	const counts = await Promise.all(system.controls.map(firstListedCount));
 	assert.deepEqual(counts, [2, 2, 2]);
@@ -143,7 +149,7 @@
 
 test('an operator can list a quarantined request and release it at all instances', async () => {
 	const url = system.metricsUrl(system.controls[1]!);
-	const listed = JSON.parse((await ask('GET', `${url}/quarantine`)).body) as QuarantineList;
+	const listed = JSON.parse((await sendHttpRequest('GET', `${url}/quarantine`)).body) as QuarantineList;
 	assert.deepEqual(
 		listed.requests.map(({ phase, runs }) => [phase, runs.length]),
 		[
@@ -153,15 +159,15 @@
 	);
 	const order = listed.requests[1]!;
 	// The control instances have just restarted: without a leader they respond with 503.
-	await until('the request is released', async () => {
-		const { status } = await ask('DELETE', `${url}/quarantine/${order.digest}`);
+	await waitFor('the request is released', async () => {
+		const { status } = await sendHttpRequest('DELETE', `${url}/quarantine/${order.digest}`);
 		assert.ok(status === 200 || status === 503, `${status}`);
 		return status === 200 ? true : undefined;
 	});
-	assert.equal((await ask('DELETE', `${url}/quarantine/${order.digest}`)).status, 404);
+	assert.equal((await sendHttpRequest('DELETE', `${url}/quarantine/${order.digest}`)).status, 404);
 	const lostRunsBefore = targets.lostRuns.length;
 	for (const entry of system.entries) {
-		await until('the request is sent to a target again', async () => {
+		await waitFor('the request is sent to a target again', async () => {
 			const { status } = await system.request(entry, 'POST', '/order/1', { body: 'fatal' });
 			return status === 503 ? undefined : true;
 		});
--- a/test/platform/recovery.test.ts
+++ b/test/platform/recovery.test.ts
@@ -6,22 +6,22 @@
 
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { DiscoveredSystem, routeDocument, until } from './discoveredSystem.js';
-import { StandInTarget } from './standInTarget.js';
+import { PlatformTestSystem, createConfigDocument, waitFor } from './platformTestSystem.js';
+import { TestTarget } from './testTarget.js';
 
 const ROUTES = [{ prefix: '/read/', kind: 'safe', service: 'reads' }] as const;
-const system = new DiscoveredSystem(4, 2);
-const target = new StandInTarget({
+const system = new PlatformTestSystem(4, 2);
+const target = new TestTarget({
 	id: 'i-1',
 	host: system.targetHost(1),
 	port: 8080,
 	slots: 4,
 	workMs: 5,
-	answerBytes: 20
+	paddingBytes: 20
 });
 
 async function versionAt(index: number): Promise<number | undefined> {
-	const response = await system.control(system.controls[index]!, 'GET', '/api/config');
+	const response = await system.callControl(system.controls[index]!, 'GET', '/api/config');
 	return response.status === 200 ? (JSON.parse(response.body) as { version: number }).version : undefined;
 }
 
@@ -38,9 +38,9 @@
 before(async () => {
 	await target.listen();
 	system.startAll();
-	await system.publish(routeDocument(3, ROUTES), 0);
+	await system.publish(createConfigDocument(3, ROUTES), 0);
 	await system.sendHeartbeat(target, 'reads');
-	await until('requests are served', isServed);
+	await waitFor('requests are served', isServed);
 });
 
 after(async () => {
@@ -50,26 +50,26 @@
 
 test('acknowledged state survives a restart of all killed processes', async () => {
 	const all = [...system.controls, ...system.entries];
-	await Promise.all(all.map(instance => system.end(instance, 'SIGKILL')));
+	await Promise.all(all.map(instance => system.stop(instance, 'SIGKILL')));
 	all.forEach(instance => system.start(instance, false));
-	assert.equal(await until('the table version is read', () => versionAt(0)), 3);
-	await until('requests are served', isServed);
+	assert.equal(await waitFor('the table version is read', () => versionAt(0)), 3);
+	await waitFor('requests are served', isServed);
 });
 
 test('an instance that lost its disk and a replacement at another address become members', async () => {
-	await system.end(system.controls[1]!, 'SIGKILL');
-	system.wipe(system.controls[1]!);
+	await system.stop(system.controls[1]!, 'SIGKILL');
+	system.deleteData(system.controls[1]!);
 	system.start(system.controls[1]!, false);
-	assert.equal(await until('the table version is read from the instance that lost its disk', () => versionAt(1)), 3);
-	await system.end(system.controls[3]!, 'SIGKILL');
+	assert.equal(await waitFor('the table version is read from the instance that lost its disk', () => versionAt(1)), 3);
+	await system.stop(system.controls[3]!, 'SIGKILL');
 	const replacement = system.addControl(system.controls[3]!.hall);
 	system.start(replacement, false);
 	assert.equal(
-		await until('the table version is read from the replacement', () =>
+		await waitFor('the table version is read from the replacement', () =>
 			versionAt(system.controls.indexOf(replacement))
 		),
 		3
 	);
-	await system.publish(routeDocument(5, ROUTES), 3);
-	assert.equal(await until('the new table version is read', () => versionAt(0)), 5);
+	await system.publish(createConfigDocument(5, ROUTES), 3);
+	assert.equal(await waitFor('the new table version is read', () => versionAt(0)), 5);
 });
--- a/test/platform/requests.test.ts
+++ b/test/platform/requests.test.ts
@@ -7,8 +7,8 @@
 import assert from 'node:assert/strict';
 import { request as httpRequest } from 'node:http';
 import { after, before, beforeEach, test } from 'node:test';
-import { DiscoveredSystem, routeDocument, until } from './discoveredSystem.js';
-import { type InjectedFault, StandInTarget } from './standInTarget.js';
+import { PlatformTestSystem, createConfigDocument, waitFor } from './platformTestSystem.js';
+import { type InjectedFault, TestTarget } from './testTarget.js';
 
 const ROUTES = [
 	{ prefix: '/read/', kind: 'safe', service: 'reads' },
@@ -16,17 +16,14 @@
 	{ prefix: '/brief/', kind: 'unsafe', service: 'slow', timeout: '300ms' },
 	{ prefix: '/slow/', kind: 'safe', service: 'slow' }
 ] as const;
-const system = new DiscoveredSystem(3, 2);
+const system = new PlatformTestSystem(3, 2);
 
 /** Faults of the next requests, whichever target gets them. */
 const injectedFaults: InjectedFault[] = [];
 
-function createTarget(index: number, workMs: number, paddingBytes = 2000): StandInTarget {
+function createTarget(index: number, workMs: number, paddingBytes = 2000): TestTarget {
 	const host = system.targetHost(index);
-	return new StandInTarget(
-		{ id: `i-${index}`, host, port: 8080, slots: 4, workMs, answerBytes: paddingBytes },
-		injectedFaults
-	);
+	return new TestTarget({ id: `i-${index}`, host, port: 8080, slots: 4, workMs, paddingBytes }, injectedFaults);
 }
 
 const readTargets = [createTarget(1, 5), createTarget(2, 5)];
@@ -35,20 +32,21 @@
 
 /** Number of executions of a request at all targets. */
 function countExecutions(id: string): number {
-	return [...readTargets, slowTarget].flatMap(target => target.ran).filter(request => request.id === id).length;
+	return [...readTargets, slowTarget].flatMap(target => target.executedRequests).filter(request => request.id === id)
+		.length;
 }
 
 before(async () => {
 	await Promise.all([...readTargets, slowTarget].map(target => target.listen()));
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES), 0);
+	await system.publish(createConfigDocument(1, ROUTES), 0);
 	await Promise.all(readTargets.map(target => system.sendHeartbeat(target, 'reads')));
 	await system.sendHeartbeat(slowTarget, 'slow');
 	for (const [path, instance] of system.entries.flatMap(item => [
 		['/read/1', item] as const,
 		['/slow/1', item] as const
 	])) {
-		await until(`${path} is served`, async () =>
+		await waitFor(`${path} is served`, async () =>
 			(await system.request(instance, 'GET', path)).status === 200 ? true : undefined
 		);
 	}
@@ -56,7 +54,7 @@
 
 beforeEach(async () => {
 	injectedFaults.length = 0;
-	await until('both targets are used again', async () =>
+	await waitFor('both targets are used again', async () =>
 		(await system.request(entry, 'GET', '/read/1')).status === 200 ? true : undefined
 	);
 });
@@ -74,7 +72,7 @@
 	});
 	assert.equal(response.status, 200);
 	assert.match(String(response.headers['server-stamp']), /^i-[12]$/);
-	const request = readTargets.flatMap(target => target.ran).find(item => item.id === 'whole')!;
+	const request = readTargets.flatMap(target => target.executedRequests).find(item => item.id === 'whole')!;
 	assert.deepEqual([request.method, request.path, request.body], ['POST', '/order/7?a=b', 'two units']);
 	assert.ok(request.remainingMs > 0 && request.remainingMs <= 900);
 	assert.match(response.body, /^whole:x{2000}$/);
@@ -87,7 +85,10 @@
 		headers: { 'Transfer-Encoding': 'chunked' }
 	});
 	assert.equal(response.status, 200);
-	assert.equal(readTargets.flatMap(target => target.ran).find(item => item.id === 'chunked')!.body.length, 300000);
+	assert.equal(
+		readTargets.flatMap(target => target.executedRequests).find(item => item.id === 'chunked')!.body.length,
+		300000
+	);
 });
 
 for (const fault of ['reset', 'cut', 'other-id'] as const) {
@@ -95,7 +96,7 @@
 		injectedFaults.push(fault);
 		const read = await system.request(entry, 'GET', '/read/1', { id: `read-${fault}` });
 		assert.deepEqual([read.status, read.body.slice(0, 5)], [200, 'read-']);
-		await until('the target is used again', async () =>
+		await waitFor('the target is used again', async () =>
 			(await system.request(entry, 'GET', '/read/1')).status === 200 ? true : undefined
 		);
 		injectedFaults.push(fault);
@@ -147,7 +148,7 @@
 test('a repeatable request that may have run is never reported as not run', async () => {
 	const faults: readonly InjectedFault[] = ['reset', 'full', 'full', 'full'];
 	// If no target gets the request since all were full or slow shortly before, the entry instance correctly reports it as not run.
-	const response = await until('a request reaches a target', async () => {
+	const response = await waitFor('a request reaches a target', async () => {
 		injectedFaults.splice(0, injectedFaults.length, ...faults);
 		const latest = await system.request(entry, 'GET', '/read/1');
 		return injectedFaults.length < faults.length ? latest : undefined;
@@ -165,13 +166,15 @@
 });
 
 test('a request is cancelled at the target if its caller disconnects', async () => {
-	const url = `${system.frontUrl(entry)}/slow/1`;
+	const url = `${system.callerUrl(entry)}/slow/1`;
 	const request = httpRequest(url, { headers: { Host: 'shop.example', 'Request-Id': 'left', 'Deadline-Ms': '3000' } });
 	request.on('error', () => undefined);
 	request.end();
-	const received = await until('the request runs', async () => slowTarget.ran.find(item => item.id === 'left'));
+	const received = await waitFor('the request runs', async () =>
+		slowTarget.executedRequests.find(item => item.id === 'left')
+	);
 	request.destroy();
-	await until('the request is cancelled', async () => (received.closedEarly ? true : undefined), 1000);
+	await waitFor('the request is cancelled', async () => (received.closedEarly ? true : undefined), 1000);
 });
 
 test('an instance keeps serving after its log output was closed', async () => {
@@ -185,11 +188,11 @@
 test('a graceful stop completes all requests, including large responses', async () => {
 	const stopped = system.entries[1]!;
 	const responses = [1, 2, 3].map(i => system.request(stopped, 'GET', `/slow/${i}`, { id: `stop-${i}` }));
-	await until('all requests run', async () =>
-		slowTarget.ran.filter(request => request.id.startsWith('stop-')).length === 3 ? true : undefined
+	await waitFor('all requests run', async () =>
+		slowTarget.executedRequests.filter(request => request.id.startsWith('stop-')).length === 3 ? true : undefined
 	);
-	const exited = system.end(stopped, 'SIGTERM');
-	await until('the instance is no longer ready', async () => ((await system.isReady(stopped)) ? undefined : true));
+	const exited = system.stop(stopped, 'SIGTERM');
+	await waitFor('the instance is no longer ready', async () => ((await system.isReady(stopped)) ? undefined : true));
 	for (const response of await Promise.all(responses)) {
 		assert.deepEqual([response.status, response.body.length], [200, 'stop-1:'.length + 200000]);
 	}
--- a/test/platform/restartingTargets.ts
+++ b/test/platform/restartingTargets.ts
@@ -4,8 +4,8 @@
 
 /** Targets that restart at the same address some time after a crash, under a new id, and send heartbeats. */
 
-import type { DiscoveredSystem } from './discoveredSystem.js';
-import { type SeenRequest, StandInTarget } from './standInTarget.js';
+import type { PlatformTestSystem } from './platformTestSystem.js';
+import { type ReceivedRequest, TestTarget } from './testTarget.js';
 
 const PORT = 8080;
 const SLOTS = 4;
@@ -15,7 +15,7 @@
 
 /** A run under which its target crashed. */
 export interface LostRun {
-	readonly request: SeenRequest;
+	readonly request: ReceivedRequest;
 	readonly targetId: string;
 	/** Time of the crash, on the monotonic clock. */
 	readonly at: number;
@@ -28,21 +28,21 @@
 	/** Time from the crash of a target to its restart. */
 	readonly restartDelayMs: number;
 	/** Whether a request crashes the target that runs it. */
-	readonly crashesOn: (request: SeenRequest) => boolean;
+	readonly crashesOn: (request: ReceivedRequest) => boolean;
 }
 
 /** A pool of restarting targets of one service. */
 export class RestartingTargets {
 	/** Runs under which their target crashed, in order. */
 	readonly lostRuns: LostRun[] = [];
-	private readonly _runningTargets = new Map<number, StandInTarget>();
+	private readonly _runningTargets = new Map<number, TestTarget>();
 	private readonly _restartTimers = new Set<NodeJS.Timeout>();
 	private _startCount = 0;
 	private _heartbeatTimer?: NodeJS.Timeout;
 	private _isStopped = false;
 
 	constructor(
-		private readonly _system: DiscoveredSystem,
+		private readonly _system: PlatformTestSystem,
 		private readonly _options: RestartingTargetsOptions
 	) {}
 
@@ -63,13 +63,13 @@
 
 	private async _startTarget(index: number): Promise<void> {
 		const id = `i-${index}-${++this._startCount}`;
-		const target: StandInTarget = new StandInTarget({
+		const target: TestTarget = new TestTarget({
 			id,
 			host: this._system.targetHost(index),
 			port: PORT,
 			slots: SLOTS,
 			workMs: WORK_MS,
-			answerBytes: PADDING_BYTES,
+			paddingBytes: PADDING_BYTES,
 			crashesOn: request => this._recordIfLost(request, id),
 			onCrashed: () => this._scheduleRestart(index)
 		});
@@ -78,7 +78,7 @@
 		await this._system.sendHeartbeat(target, this._options.service);
 	}
 
-	private _recordIfLost(request: SeenRequest, targetId: string): boolean {
+	private _recordIfLost(request: ReceivedRequest, targetId: string): boolean {
 		const isLost = this._options.crashesOn(request);
 		if (isLost) {
 			this.lostRuns.push({ request, targetId, at: performance.now() });
--- a/test/platform/targetBackoff.test.ts
+++ b/test/platform/targetBackoff.test.ts
@@ -9,8 +9,14 @@
 
 import assert from 'node:assert/strict';
 import { after, afterEach, before, test } from 'node:test';
-import { DiscoveredSystem, type HttpResponse, type Instance, routeDocument, until } from './discoveredSystem.js';
-import { StandInTarget } from './standInTarget.js';
+import {
+	PlatformTestSystem,
+	type HttpResponse,
+	type Instance,
+	createConfigDocument,
+	waitFor
+} from './platformTestSystem.js';
+import { TestTarget } from './testTarget.js';
 
 const ROUTES = [
 	{ prefix: '/read/', kind: 'safe', service: 'reads' },
@@ -28,17 +34,17 @@
 /** Start time of the next incarnation of a target, as Unix milliseconds. */
 const RESTARTED_AT_MS = 1767630000000;
 
-const system = new DiscoveredSystem(3, 1);
+const system = new PlatformTestSystem(3, 1);
 const [entry] = system.entries as [Instance];
 const targets = [1, 2, 3, 4].map(
 	index =>
-		new StandInTarget({
+		new TestTarget({
 			id: `i-${index}`,
 			host: system.targetHost(index),
 			port: 8080,
 			slots: 4,
 			workMs: 5,
-			answerBytes: 20
+			paddingBytes: 20
 		})
 );
 let sentCount = 0;
@@ -71,20 +77,20 @@
 }
 
 async function waitUntilAllTargetsUsed(): Promise<void> {
-	await until('all targets get requests', async () => {
+	await waitFor('all targets get requests', async () => {
 		const notDraining = targets.filter(target => target.extraHeaders['Server-Leaving'] === undefined);
-		const executedBefore = notDraining.map(target => target.ran.length);
+		const executedBefore = notDraining.map(target => target.executedRequests.length);
 		await sendLoad(300);
-		return notDraining.every((target, i) => target.ran.length > executedBefore[i]!) ? true : undefined;
+		return notDraining.every((target, i) => target.executedRequests.length > executedBefore[i]!) ? true : undefined;
 	});
 }
 
 before(async () => {
 	await Promise.all(targets.map(target => target.listen()));
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES), 0);
+	await system.publish(createConfigDocument(1, ROUTES), 0);
 	await Promise.all(targets.map(target => system.sendHeartbeat(target, 'reads')));
-	await until('requests are served', async () => ((await sendRequest()).status === 200 ? true : undefined));
+	await waitFor('requests are served', async () => ((await sendRequest()).status === 200 ? true : undefined));
 	await waitUntilAllTargetsUsed();
 });
 
@@ -103,7 +109,7 @@
 
 /** Lets one target reject all requests and ask for backoff, and asserts that it gets almost none after those in flight. */
 async function assertBackoffRespected(loadHeaders: Readonly<Record<string, string>>): Promise<void> {
-	const [target] = targets as [StandInTarget];
+	const [target] = targets as [TestTarget];
 	target.rejectedRequests.length = 0;
 	target.rejectionHeaders = { 'Retry-After': String(BACKOFF_MS / 1000), ...loadHeaders };
 	const statuses = await sendLoad(BACKOFF_MS - 200);
@@ -134,7 +140,7 @@
 test('a request is rejected at once if all targets asked for backoff, with the earliest end of it as Retry-After', async () => {
 	targets.forEach((target, i) => (target.rejectionHeaders = { 'Retry-After': String(i === 2 ? 1.5 : 4) }));
 	const startedAt = performance.now();
-	await until('all targets are in backoff', async () => {
+	await waitFor('all targets are in backoff', async () => {
 		const reason = JSON.parse((await sendRequest()).body) as { reason: string };
 		return reason.reason === 'targets-at-rest' ? true : undefined;
 	});
@@ -152,7 +158,7 @@
 		rejectedCounts
 	);
 	targets.forEach(target => (target.rejectionHeaders = undefined));
-	await until(
+	await waitFor(
 		'the first target serves again',
 		async () => ((await sendRequest()).status === 200 ? true : undefined),
 		3000
@@ -160,9 +166,9 @@
 });
 
 test('a target that restarts under its id is not in backoff', async () => {
-	const [target] = targets as [StandInTarget];
+	const [target] = targets as [TestTarget];
 	target.rejectionHeaders = { 'Retry-After': '600' };
-	await until('the target rejects a request', async () => {
+	await waitFor('the target rejects a request', async () => {
 		await sendRequest();
 		return target.rejectedRequests.length > 0 ? true : undefined;
 	});
@@ -173,14 +179,14 @@
 test('a target that reports in its responses that it is draining gets no new requests, without notice from control', async () => {
 	const draining = targets[3]!;
 	draining.extraHeaders = { 'Server-Leaving': '1' };
-	const before = draining.ran.length;
-	await until('the target runs a request', async () => {
+	const before = draining.executedRequests.length;
+	await waitFor('the target runs a request', async () => {
 		await sendRequest();
-		return draining.ran.length > before ? true : undefined;
+		return draining.executedRequests.length > before ? true : undefined;
 	});
 	await delay(DRAIN_TIMEOUT_MS);
-	const executedBeforeDeadline = draining.ran.length;
+	const executedBeforeDeadline = draining.executedRequests.length;
 	const statuses = await sendLoad(1000);
-	assert.equal(draining.ran.length - executedBeforeDeadline, 0);
+	assert.equal(draining.executedRequests.length - executedBeforeDeadline, 0);
 	assert.ok(statuses.every(status => status === 200));
 });
--- a/test/platform/targetConnections.test.ts
+++ b/test/platform/targetConnections.test.ts
@@ -9,8 +9,8 @@
 
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { DiscoveredSystem, routeDocument, until } from './discoveredSystem.js';
-import { StandInTarget } from './standInTarget.js';
+import { PlatformTestSystem, createConfigDocument, waitFor } from './platformTestSystem.js';
+import { TestTarget } from './testTarget.js';
 
 const ROUTES = [
 	{ prefix: '/read/', kind: 'safe', service: 'reads' },
@@ -21,14 +21,14 @@
 const STATUS_OK = 200;
 const STATUS_UNAVAILABLE = 503;
 
-const system = new DiscoveredSystem(3, 3);
-const target = new StandInTarget({
+const system = new PlatformTestSystem(3, 3);
+const target = new TestTarget({
 	id: 'i-1',
 	host: system.targetHost(1),
 	port: 8080,
 	slots: 60,
 	workMs: 300,
-	answerBytes: 200000
+	paddingBytes: 200000
 });
 
 async function sendRequests(path: string): Promise<number[]> {
@@ -41,10 +41,10 @@
 before(async () => {
 	await target.listen();
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES, undefined, MAX_CONNECTIONS), 0);
+	await system.publish(createConfigDocument(1, ROUTES, undefined, MAX_CONNECTIONS), 0);
 	await system.sendHeartbeat(target, 'reads');
 	for (const entry of system.entries) {
-		await until('requests are served', async () =>
+		await waitFor('requests are served', async () =>
 			(await system.request(entry, 'GET', '/read/1')).status === STATUS_OK ? true : undefined
 		);
 	}
--- a/test/platform/targetIncarnations.test.ts
+++ b/test/platform/targetIncarnations.test.ts
@@ -9,22 +9,22 @@
 
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { DiscoveredSystem, routeDocument, until } from './discoveredSystem.js';
-import { StandInTarget } from './standInTarget.js';
+import { PlatformTestSystem, createConfigDocument, waitFor } from './platformTestSystem.js';
+import { TestTarget } from './testTarget.js';
 
 const ROUTES = [{ prefix: '/read/', kind: 'safe', service: 'reads' }] as const;
 /** Start times of two incarnations of the target, as Unix milliseconds. */
 const FIRST_INCARNATION_MS = 1767630000000;
 const SECOND_INCARNATION_MS = 1767630009000;
-const system = new DiscoveredSystem(3, 1);
+const system = new PlatformTestSystem(3, 1);
 const [entry] = system.entries as [(typeof system.entries)[0]];
-const target = new StandInTarget({
+const target = new TestTarget({
 	id: 'i-1',
 	host: system.targetHost(1),
 	port: 8080,
 	slots: 4,
 	workMs: 5,
-	answerBytes: 20
+	paddingBytes: 20
 });
 
 interface JsonObject {
@@ -43,12 +43,12 @@
 	control = system.controls[0]!
 ): Promise<[number, string?]> {
 	const body = typeof heartbeat === 'string' ? heartbeat : JSON.stringify(heartbeat);
-	const response = await system.control(control, 'PUT', `/api/instances/${id}`, body);
+	const response = await system.callControl(control, 'PUT', `/api/instances/${id}`, body);
 	return [response.status, (JSON.parse(response.body) as { field?: string }).field];
 }
 
 async function waitUntilAccepted(heartbeat: JsonObject): Promise<void> {
-	await until('a heartbeat is accepted', async () =>
+	await waitFor('a heartbeat is accepted', async () =>
 		(await sendHeartbeat('i-1', heartbeat))[0] === 200 ? true : undefined
 	);
 }
@@ -58,13 +58,13 @@
 }
 
 async function waitUntilServed(): Promise<void> {
-	await until('requests are served', async () => ((await requestStatus()) === 200 ? true : undefined), 6000);
+	await waitFor('requests are served', async () => ((await requestStatus()) === 200 ? true : undefined), 6000);
 }
 
 before(async () => {
 	await target.listen();
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES), 0);
+	await system.publish(createConfigDocument(1, ROUTES), 0);
 	await waitUntilAccepted(createHeartbeat(FIRST_INCARNATION_MS, 5000));
 	await waitUntilServed();
 });
@@ -75,9 +75,9 @@
 });
 
 test('a target that restarts under its id serves again, and late heartbeats of its earlier incarnation change nothing', async () => {
-	const removed = await system.control(system.controls[0]!, 'DELETE', '/api/instances/i-1');
+	const removed = await system.callControl(system.controls[0]!, 'DELETE', '/api/instances/i-1');
 	assert.equal(removed.status, 200);
-	await until('no requests are sent to the target', async () => ((await requestStatus()) === 503 ? true : undefined));
+	await waitFor('no requests are sent to the target', async () => ((await requestStatus()) === 503 ? true : undefined));
 	await waitUntilAccepted(createHeartbeat(SECOND_INCARNATION_MS, 1));
 	await waitUntilServed();
 	for (const control of system.controls) {
--- a/test/platform/teams.test.ts
+++ b/test/platform/teams.test.ts
@@ -6,8 +6,8 @@
 
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { type ConfigTeam, DiscoveredSystem, routeDocument, until } from './discoveredSystem.js';
-import { type SeenRequest, StandInTarget } from './standInTarget.js';
+import { type ConfigTeam, PlatformTestSystem, createConfigDocument, waitFor } from './platformTestSystem.js';
+import { type ReceivedRequest, TestTarget } from './testTarget.js';
 
 const ROUTES = [
 	{ prefix: '/read/', kind: 'safe', service: 'reads' },
@@ -19,15 +19,15 @@
 const LIMITED: ConfigTeam = { name: 'limited', keys: ['limited-key'], perSecond: 10, burst: 20 };
 /** Length of the sliding window over which the limit holds for all instances together. */
 const LIMIT_WINDOW_MS = 5000;
-const system = new DiscoveredSystem(3, 2);
+const system = new PlatformTestSystem(3, 2);
 const [entry, otherEntry] = system.entries as [(typeof system.entries)[0], (typeof system.entries)[0]];
-const target = new StandInTarget({
+const target = new TestTarget({
 	id: 'i-1',
 	host: system.targetHost(1),
 	port: 8080,
 	slots: 4,
 	workMs: 5,
-	answerBytes: 100
+	paddingBytes: 100
 });
 
 async function requestStatus(path: string, key?: string, instance = entry): Promise<number> {
@@ -35,17 +35,17 @@
 	return (await system.request(instance, 'GET', path, { headers })).status;
 }
 
-function receivedRequest(id: string): SeenRequest {
-	return target.ran.find(request => request.id === id)!;
+function receivedRequest(id: string): ReceivedRequest {
+	return target.executedRequests.find(request => request.id === id)!;
 }
 
 before(async () => {
 	await target.listen();
 	system.startAll();
-	await system.publish(routeDocument(1, ROUTES, [GROWERS, VENTS, OTHER_REGION, LIMITED]), 0);
+	await system.publish(createConfigDocument(1, ROUTES, [GROWERS, VENTS, OTHER_REGION, LIMITED]), 0);
 	await system.sendHeartbeat(target, 'reads');
 	for (const instance of system.entries) {
-		await until('the route is served', async () =>
+		await waitFor('the route is served', async () =>
 			(await requestStatus('/read/1', 'vents-key', instance)) === 200 ? true : undefined
 		);
 	}
@@ -124,8 +124,8 @@
 });
 
 test('a document in which two teams share a key is rejected and changes nothing', async () => {
-	const documentWithSharedKey = routeDocument(2, ROUTES, [GROWERS, { name: 'copy', keys: ['growers-key-1'] }]);
-	const response = await system.control(system.controls[0]!, 'PUT', '/api/config', documentWithSharedKey, 1);
+	const documentWithSharedKey = createConfigDocument(2, ROUTES, [GROWERS, { name: 'copy', keys: ['growers-key-1'] }]);
+	const response = await system.callControl(system.controls[0]!, 'PUT', '/api/config', documentWithSharedKey, 1);
 	assert.equal(response.status, 400);
 	assert.doesNotMatch(response.body, /growers-key/);
 	assert.equal(await requestStatus('/read/5', 'growers-key-1'), 200);
@@ -133,7 +133,7 @@
 
 test('a removed key is rejected at all instances once the change is acknowledged, also a team’s last key', async () => {
 	await system.publish(
-		routeDocument(3, ROUTES, [
+		createConfigDocument(3, ROUTES, [
 			{ ...GROWERS, keys: ['growers-key-2'] },
 			{ ...VENTS, keys: [] }
 		]),
--- a/test/platform/standInTarget.ts
+++ b/test/platform/testTarget.ts
@@ -26,7 +26,7 @@
 export type InjectedFault = 'reset' | 'cut' | 'full' | 'extra' | 'silent' | 'unframed' | 'other-id' | 'error';
 
 /** A request as a target received it. */
-export interface SeenRequest {
+export interface ReceivedRequest {
 	readonly id: string;
 	readonly method: string;
 	readonly path: string;
@@ -57,19 +57,19 @@
 	/** Time that each request takes to run. */
 	readonly workMs: number;
 	/** Length of the response body after the request id and a colon. */
-	readonly answerBytes: number;
+	readonly paddingBytes: number;
 	/** Whether a request crashes the target at the end of its run; by default none does. */
-	readonly crashesOn?: (request: SeenRequest) => boolean;
+	readonly crashesOn?: (request: ReceivedRequest) => boolean;
 	/** Called after a request crashed the target. */
 	readonly onCrashed?: () => void;
 }
 
 /** An HTTP server that handles requests as a target does. */
-export class StandInTarget {
+export class TestTarget {
 	/** Arrival times of the requests meant for this target, executed or not, on the monotonic clock; in order. */
 	readonly arrivalTimes: number[] = [];
 	/** Requests that were executed, in order of arrival. */
-	readonly ran: SeenRequest[] = [];
+	readonly executedRequests: ReceivedRequest[] = [];
 	/** Requests that were rejected because `rejectionHeaders` was set, in order of arrival. */
 	readonly rejectedRequests: RejectedRequest[] = [];
 	/** If set, each request is rejected as not executed, with these headers. */
@@ -118,7 +118,7 @@
 		for await (const chunk of request) {
 			chunks.push(chunk as Buffer);
 		}
-		const received: SeenRequest = {
+		const received: ReceivedRequest = {
 			id: String(request.headers['request-id']),
 			method: request.method!,
 			path: request.url!,
@@ -144,7 +144,7 @@
 			response.writeHead(503, { 'Not-Executed': '1' }).end();
 			return;
 		}
-		this.ran.push(received);
+		this.executedRequests.push(received);
 		this._runningRequests++;
 		response.on('close', () => (received.closedEarly = !response.writableFinished));
 		setTimeout(() => {
@@ -158,8 +158,8 @@
 		}, this.options.workMs);
 	}
 
-	private _respond(response: ServerResponse, received: SeenRequest, fault: InjectedFault | undefined): void {
-		const body = `${received.id}:${'x'.repeat(this.options.answerBytes)}`;
+	private _respond(response: ServerResponse, received: ReceivedRequest, fault: InjectedFault | undefined): void {
+		const body = `${received.id}:${'x'.repeat(this.options.paddingBytes)}`;
 		const load = `${this._runningRequests},0,${this.options.slots}`;
 		const headers = {
 			'Server-Stamp': this.options.id,
--- a/test/soak/observations.ts
+++ b/test/soak/observations.ts
@@ -4,7 +4,7 @@
 
 /** What callers, targets and the operator of a soak test observed. The rules are checked against these records only. */
 
-import type { SeenRequest } from '../platform/standInTarget.js';
+import type { ReceivedRequest } from '../platform/testTarget.js';
 
 /** One request as its caller observed it. Times are in milliseconds of `performance.now()`. */
 export interface CallerRecord {
@@ -23,7 +23,7 @@
 }
 
 /** One execution of a request at a target. */
-export interface ExecutionRecord extends SeenRequest {
+export interface ExecutionRecord extends ReceivedRequest {
 	readonly target: string;
 }
 
--- a/test/soak/soakCallers.ts
+++ b/test/soak/soakCallers.ts
@@ -5,7 +5,7 @@
 /** Callers of a soak test. They reuse connections, fail over between entry instances and record each request. */
 
 import { Agent, request as httpRequest } from 'node:http';
-import type { DiscoveredSystem, Instance } from '../platform/discoveredSystem.js';
+import type { PlatformTestSystem, Instance } from '../platform/platformTestSystem.js';
 import type { CallerRecord, Observations } from './observations.js';
 
 const DEADLINE_MS = 2000;
@@ -22,7 +22,7 @@
 	private readonly _loops: Promise<void>[] = [];
 
 	constructor(
-		private readonly _system: DiscoveredSystem,
+		private readonly _system: PlatformTestSystem,
 		private readonly _observations: Observations
 	) {}
 
@@ -79,7 +79,7 @@
 				record.endedAt ||= performance.now();
 				resolve(record);
 			};
-			const request = httpRequest(`${this._system.frontUrl(entry)}${record.path}`, {
+			const request = httpRequest(`${this._system.callerUrl(entry)}${record.path}`, {
 				agent: this._agent,
 				method: record.method,
 				timeout: CLIENT_TIMEOUT_MS,
--- a/test/soak/soakOperator.ts
+++ b/test/soak/soakOperator.ts
@@ -4,7 +4,7 @@
 
 /** Operator of a soak test: publishes configurations, also concurrently, and reads the active version. */
 
-import { type DiscoveredSystem, routeDocument, until } from '../platform/discoveredSystem.js';
+import { type PlatformTestSystem, createConfigDocument, waitFor } from '../platform/platformTestSystem.js';
 import type { Observations } from './observations.js';
 
 const ROUTES = [
@@ -18,13 +18,13 @@
 	private _version = INITIAL_VERSION;
 
 	constructor(
-		private readonly _system: DiscoveredSystem,
+		private readonly _system: PlatformTestSystem,
 		private readonly _observations: Observations
 	) {}
 
 	/** Publishes the initial configuration; call it before callers start. */
 	async publishInitial(): Promise<void> {
-		await this._system.publish(routeDocument(INITIAL_VERSION, ROUTES), 0);
+		await this._system.publish(createConfigDocument(INITIAL_VERSION, ROUTES), 0);
 	}
 
 	/** Publishes one change based on the active version. */
@@ -45,15 +45,17 @@
 
 	/** Reads the active version at the end of the run. */
 	async readFinalVersion(): Promise<void> {
-		this._observations.finalVersion = await until('a control instance returns the configuration', () =>
+		this._observations.finalVersion = await waitFor('a control instance returns the configuration', () =>
 			this._readVersion()
 		).catch(() => undefined);
 	}
 
 	private async _publish(base: number, version: number): Promise<void> {
-		const document = routeDocument(version, ROUTES);
+		const document = createConfigDocument(version, ROUTES);
 		for (const control of this._system.controls) {
-			const response = await this._system.control(control, 'PUT', '/api/config', document, base).catch(() => undefined);
+			const response = await this._system
+				.callControl(control, 'PUT', '/api/config', document, base)
+				.catch(() => undefined);
 			this._observations.published.push({ base, version, status: response?.status });
 			if (response && response.status < 500) {
 				return;
@@ -63,7 +65,7 @@
 
 	private async _readVersion(): Promise<number | undefined> {
 		for (const control of this._system.controls) {
-			const response = await this._system.control(control, 'GET', '/api/config').catch(() => undefined);
+			const response = await this._system.callControl(control, 'GET', '/api/config').catch(() => undefined);
 			if (response?.status === 200) {
 				return (JSON.parse(response.body) as { version: number }).version;
 			}
--- a/test/soak/soakRun.ts
+++ b/test/soak/soakRun.ts
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { LocalProcess } from '../local/childProcess.js';
-import { DiscoveredSystem, type Instance, until } from '../platform/discoveredSystem.js';
+import { PlatformTestSystem, type Instance, waitFor } from '../platform/platformTestSystem.js';
 import { generateFaults, type Fault, FaultKind } from './faultSchedule.js';
 import { Observations } from './observations.js';
 import { SoakCallers } from './soakCallers.js';
@@ -53,7 +53,7 @@
 
 /** Runs the soak test for one seed. */
 export class SoakRun {
-	private readonly _system = new DiscoveredSystem(CONTROL_COUNT, ENTRY_COUNT);
+	private readonly _system = new PlatformTestSystem(CONTROL_COUNT, ENTRY_COUNT);
 	private readonly _observations = new Observations();
 	private readonly _callers = new SoakCallers(this._system, this._observations);
 	private readonly _operator = new SoakOperator(this._system, this._observations);
@@ -110,7 +110,7 @@
 		await this._operator.publishInitial();
 		await this._targets.start(TARGET_COUNT);
 		for (const entry of this._system.entries) {
-			await until('an entry instance serves', async () =>
+			await waitFor('an entry instance serves', async () =>
 				(await this._callers.sendOnce(entry)).status === 200 ? true : undefined
 			);
 		}
@@ -153,7 +153,7 @@
 			case FaultKind.PauseControl:
 				return this._pauseFor(control, fault.forMs);
 			case FaultKind.StopEntry:
-				await this._system.end(entry, 'SIGTERM');
+				await this._system.stop(entry, 'SIGTERM');
 				this._system.start(entry, false);
 				return;
 			case FaultKind.WipeControl:
@@ -181,7 +181,7 @@
 	}
 
 	private async _killAndRestart(instance: Instance): Promise<void> {
-		await this._system.end(instance, 'SIGKILL');
+		await this._system.stop(instance, 'SIGKILL');
 		await sleep(RESTART_DELAY_MS);
 		if (instance.child?.exitCode !== null || instance.child.signalCode !== null) {
 			this._system.start(instance, false);
@@ -200,8 +200,8 @@
 			return;
 		}
 		this._isRecoveringFromDataLoss = true;
-		await this._system.end(control, 'SIGKILL');
-		this._system.wipe(control);
+		await this._system.stop(control, 'SIGKILL');
+		this._system.deleteData(control);
 		this._system.start(control, false);
 		await sleep(RECOVERY_MS);
 		this._isRecoveringFromDataLoss = false;
--- a/test/soak/soakTargets.ts
+++ b/test/soak/soakTargets.ts
@@ -5,8 +5,8 @@
 /** Targets of a soak test, each behind a link of the fault proxy. They send heartbeats, drain, crash and restart under a new id. */
 
 import type { LinkRequest, LinkState } from '../faults/faultProxy.js';
-import { ask, type DiscoveredSystem, type Instance } from '../platform/discoveredSystem.js';
-import { StandInTarget } from '../platform/standInTarget.js';
+import { sendHttpRequest, type PlatformTestSystem, type Instance } from '../platform/platformTestSystem.js';
+import { TestTarget } from '../platform/testTarget.js';
 import type { ExecutionRecord } from './observations.js';
 
 const HEARTBEAT_INTERVAL_MS = 500;
@@ -16,7 +16,7 @@
 /** A target and its link of the fault proxy. */
 interface ProxiedTarget {
 	readonly index: number;
-	target: StandInTarget;
+	target: TestTarget;
 	linkUrl: string;
 	proxiedAddress: string;
 	isDraining: boolean;
@@ -28,13 +28,13 @@
 	/** Ids of all targets started so far, including replaced ones. */
 	readonly ids = new Set<string>();
 	private readonly _proxiedTargets: ProxiedTarget[] = [];
-	private readonly _replacedTargets: StandInTarget[] = [];
+	private readonly _replacedTargets: TestTarget[] = [];
 	private _incarnation = 0;
 	private _sequence = 0;
 	private _heartbeatTimer?: NodeJS.Timeout;
 
 	constructor(
-		private readonly _system: DiscoveredSystem,
+		private readonly _system: PlatformTestSystem,
 		private readonly _proxyUrl: string
 	) {}
 
@@ -52,7 +52,7 @@
 	/** All executions so far, including those at replaced targets. */
 	get executions(): ExecutionRecord[] {
 		const all = [...this._replacedTargets, ...this._proxiedTargets.map(proxied => proxied.target)];
-		return all.flatMap(target => target.ran.map(seen => ({ ...seen, target: target.options.id })));
+		return all.flatMap(target => target.executedRequests.map(seen => ({ ...seen, target: target.options.id })));
 	}
 
 	/** Applies `change` to one link, and `restored` after `durationMs`. Resolves once `change` is applied. */
@@ -111,18 +111,18 @@
 	private async _startTarget(index: number): Promise<ProxiedTarget> {
 		const id = `t-${index}-${++this._incarnation}`;
 		const host = this._system.targetHost(index);
-		const target = new StandInTarget({
+		const target = new TestTarget({
 			id,
 			host,
 			port: 8000 + this._incarnation,
 			slots: 8,
 			workMs: 20,
-			answerBytes: 900
+			paddingBytes: 900
 		});
 		await target.listen();
 		this.ids.add(id);
 		const link: LinkRequest = { from: 'entries', to: id, target: target.address, delayMs: 0 };
-		const response = await ask('POST', `${this._proxyUrl}/links`, { body: JSON.stringify(link) });
+		const response = await sendHttpRequest('POST', `${this._proxyUrl}/links`, { body: JSON.stringify(link) });
 		const { id: linkId, address } = JSON.parse(response.body) as { id: number; address: string };
 		return {
 			index,
@@ -135,7 +135,7 @@
 	}
 
 	private async _changeLink(proxied: ProxiedTarget, change: Partial<LinkState>): Promise<void> {
-		await ask('POST', proxied.linkUrl, { body: JSON.stringify(change) });
+		await sendHttpRequest('POST', proxied.linkUrl, { body: JSON.stringify(change) });
 	}
 
 	/** Sends one heartbeat to the control instances in turn until one accepts it. */
@@ -158,7 +158,7 @@
 
 	private async _isHeartbeatAccepted(control: Instance, id: string, body: string): Promise<boolean> {
 		const path = `/api/instances/${id}`;
-		const response = await this._system.control(control, 'PUT', path, body, undefined, 1000).catch(() => undefined);
+		const response = await this._system.callControl(control, 'PUT', path, body, undefined, 1000).catch(() => undefined);
 		return response?.status === 200;
 	}
 }
