--- a/src/plugins/fleet/common/livenessTracker.ts
+++ b/src/plugins/fleet/common/livenessTracker.ts
@@ -30,7 +30,7 @@
 
 interface ObservedEntry {
 	description: EntryDescription;
-	seenAt: Millis;
+	observedAt: Millis;
 	/** Whether this instance received it and has not sent it to the others yet. */
 	isUnsent: boolean;
 	/** The description last sent to the others, and when. */
@@ -40,7 +40,7 @@
 interface ObservedTarget {
 	bornAt: number;
 	sequence: number;
-	seenAt: Millis;
+	observedAt: Millis;
 	coldUntil: Millis;
 	isUnsent: boolean;
 }
@@ -60,7 +60,7 @@
 	recordEntry(description: EntryDescription, now: Millis): void {
 		if (!this._isOutdatedEntry(description)) {
 			const { lastSent } = this._entries.get(description.name) ?? {};
-			this._entries.set(description.name, { description, seenAt: now, isUnsent: true, lastSent });
+			this._entries.set(description.name, { description, observedAt: now, isUnsent: true, lastSent });
 		}
 	}
 
@@ -73,13 +73,13 @@
 		if (this._isOutdatedHeartbeat(heartbeat)) {
 			return false;
 		}
-		this._targets.set(id, { bornAt, sequence, seenAt: now, coldUntil: now + coldLeftMs, isUnsent: true });
+		this._targets.set(id, { bornAt, sequence, observedAt: now, coldUntil: now + coldLeftMs, isUnsent: true });
 		return true;
 	}
 
 	/** When the latest heartbeat of a target was observed; undefined if none was. */
 	lastHeartbeatAt(id: string): Millis | undefined {
-		return this._targets.get(id)?.seenAt;
+		return this._targets.get(id)?.observedAt;
 	}
 
 	/** Drops the observations of a target that is gone. */
@@ -90,26 +90,26 @@
 	/** Merges observations of another control instance. */
 	merge(exchange: Pick<ExchangeRequest, 'entries' | 'heartbeats'>, now: Millis): void {
 		exchange.entries.forEach(observation => this._mergeEntry(observation, now));
-		exchange.heartbeats.forEach(sighting => this._mergeHeartbeat(sighting, now));
+		exchange.heartbeats.forEach(observation => this._mergeHeartbeat(observation, now));
 	}
 
 	/** Observations of this instance to send to the others; returns each one once. */
 	takeUnsent(now: Millis): Pick<ExchangeRequest, 'entries' | 'heartbeats'> {
 		const entries: EntryObservation[] = [];
-		for (const seen of this._entries.values()) {
-			if (seen.isUnsent && isRelayDue(seen, now)) {
-				seen.isUnsent = false;
-				seen.lastSent = { description: seen.description, at: now };
-				entries.push({ ...seen.description, ageMs: now - seen.seenAt });
+		for (const entry of this._entries.values()) {
+			if (entry.isUnsent && isRelayDue(entry, now)) {
+				entry.isUnsent = false;
+				entry.lastSent = { description: entry.description, at: now };
+				entries.push({ ...entry.description, ageMs: now - entry.observedAt });
 			}
 		}
 		const heartbeats: HeartbeatObservation[] = [];
-		for (const [id, seen] of this._targets) {
-			if (seen.isUnsent) {
-				seen.isUnsent = false;
-				const coldLeftMs = Math.max(0, seen.coldUntil - now);
-				const { bornAt, sequence } = seen;
-				heartbeats.push({ id, bornAt, sequence, ageMs: now - seen.seenAt, coldLeftMs });
+		for (const [id, target] of this._targets) {
+			if (target.isUnsent) {
+				target.isUnsent = false;
+				const coldLeftMs = Math.max(0, target.coldUntil - now);
+				const { bornAt, sequence } = target;
+				heartbeats.push({ id, bornAt, sequence, ageMs: now - target.observedAt, coldLeftMs });
 			}
 		}
 		return { entries, heartbeats };
@@ -120,10 +120,10 @@
 	 */
 	liveEntries(now: Millis): EntryDescription[] {
 		const live: EntryDescription[] = [];
-		for (const [name, seen] of this._entries) {
-			if (now - seen.seenAt <= this._timeouts.entryTimeoutMs) {
-				live.push(seen.description);
-			} else if (now - seen.seenAt > this._timeouts.entryTimeoutMs * 10) {
+		for (const [name, entry] of this._entries) {
+			if (now - entry.observedAt <= this._timeouts.entryTimeoutMs) {
+				live.push(entry.description);
+			} else if (now - entry.observedAt > this._timeouts.entryTimeoutMs * 10) {
 				this._entries.delete(name);
 			}
 		}
@@ -132,13 +132,13 @@
 
 	/** When an entry instance last reported; undefined if never, or if it was dropped. */
 	entryLastSeenAt(name: string): Millis | undefined {
-		return this._entries.get(name)?.seenAt;
+		return this._entries.get(name)?.observedAt;
 	}
 
 	/** Whether all live entry instances have applied a revision. */
 	isAppliedByLiveEntries(revision: FleetRevision, now: Millis): boolean {
-		for (const { description, seenAt } of this._entries.values()) {
-			if (now - seenAt <= this._timeouts.entryTimeoutMs && description.revision < revision) {
+		for (const { description, observedAt } of this._entries.values()) {
+			if (now - observedAt <= this._timeouts.entryTimeoutMs && description.revision < revision) {
 				return false;
 			}
 		}
@@ -150,16 +150,16 @@
 	 * @param completeSince since when this instance has observed all heartbeats; it may have missed earlier ones
 	 */
 	isSilent(id: string, now: Millis, completeSince: Millis = Number.NEGATIVE_INFINITY): boolean {
-		const seenAt = this._targets.get(id)?.seenAt ?? this._startedAt;
-		return now - seenAt > this._timeouts.heartbeatTimeoutMs && now - completeSince > REOBSERVE_MS;
+		const observedAt = this._targets.get(id)?.observedAt ?? this._startedAt;
+		return now - observedAt > this._timeouts.heartbeatTimeoutMs && now - completeSince > REOBSERVE_MS;
 	}
 
 	/** Targets that are still cold, and for how long. */
 	coldTargets(now: Millis): ColdTarget[] {
 		const cold: ColdTarget[] = [];
-		for (const [id, seen] of this._targets) {
-			if (seen.coldUntil > now) {
-				cold.push({ id, leftMs: seen.coldUntil - now });
+		for (const [id, target] of this._targets) {
+			if (target.coldUntil > now) {
+				cold.push({ id, leftMs: target.coldUntil - now });
 			}
 		}
 		return cold;
@@ -173,11 +173,11 @@
 
 	private _mergeEntry(observation: EntryObservation, now: Millis): void {
 		const { ageMs, ...description } = observation;
-		const seenAt = now - ageMs;
+		const observedAt = now - ageMs;
 		const known = this._entries.get(description.name);
-		const isNewer = !known || seenAt > known.seenAt;
+		const isNewer = !known || observedAt > known.observedAt;
 		if (isNewer && !this._isOutdatedEntry(description)) {
-			this._entries.set(description.name, { description, seenAt, isUnsent: false });
+			this._entries.set(description.name, { description, observedAt: observedAt, isUnsent: false });
 		}
 	}
 
@@ -200,7 +200,7 @@
 		this._targets.set(id, {
 			bornAt,
 			sequence,
-			seenAt: now - ageMs,
+			observedAt: now - ageMs,
 			coldUntil: now + coldLeftMs,
 			isUnsent: false
 		});
--- a/src/plugins/fleet/common/requestedWork.ts
+++ b/src/plugins/fleet/common/requestedWork.ts
@@ -28,7 +28,7 @@
 const MIN_AVERAGING_TIME_MS = 1000;
 /**
  * Utilization up to which a target keeps all of its objects. Below it, requests to a target with about nine slots rarely queue,
- * and there is room for objects moved from other targets.
+ * and there is capacity for objects moved from other targets.
  */
 const DESIRED_UTILIZATION = 0.65;
 /** If the mean utilization is higher, a target keeps its objects up to this multiple of the mean. */
--- a/src/plugins/fleet/common/staleHeartbeatFilter.ts
+++ b/src/plugins/fleet/common/staleHeartbeatFilter.ts
@@ -23,7 +23,7 @@
 export interface AddressOwner {
 	readonly id: string;
 	/** When its last heartbeat arrived; undefined if none has. */
-	readonly heardAt: Millis | undefined;
+	readonly lastHeartbeatAt: Millis | undefined;
 }
 
 /** Detects stale heartbeats by the owner of their address. */
@@ -43,8 +43,8 @@
 		return isRegistered || (this._isLive(owner, now) && !this._isConfirmed(id, now));
 	}
 
-	private _isLive({ heardAt }: AddressOwner, now: Millis): boolean {
-		return heardAt !== undefined && now - heardAt <= OWNER_LIVE_MS;
+	private _isLive({ lastHeartbeatAt }: AddressOwner, now: Millis): boolean {
+		return lastHeartbeatAt !== undefined && now - lastHeartbeatAt <= OWNER_LIVE_MS;
 	}
 
 	private _isConfirmed(id: string, now: Millis): boolean {
--- a/src/plugins/fleet/common/viewAge.ts
+++ b/src/plugins/fleet/common/viewAge.ts
@@ -21,7 +21,7 @@
 
 	constructor(
 		private readonly _clock: IClock = systemClock,
-		private readonly _watch: ISuspensionDetector = new SuspensionDetector(_clock)
+		private readonly _suspensionDetector: ISuspensionDetector = new SuspensionDetector(_clock)
 	) {}
 
 	/** Infinite before the first current response, and after a suspension until the next one. */
@@ -53,7 +53,7 @@
 
 	/** Discards the age of the view after a suspension, whose duration the monotonic clock does not count. */
 	private _checkSuspension(): void {
-		if (this._watch.detectSuspension()) {
+		if (this._suspensionDetector.detectSuspension()) {
 			this._suspensionCount++;
 			this._currentAt = Number.NEGATIVE_INFINITY;
 		}
--- a/src/plugins/fleet/node/fleetSessionTask.ts
+++ b/src/plugins/fleet/node/fleetSessionTask.ts
@@ -131,8 +131,8 @@
 		this._demand = demand;
 	}
 
-	addRequestedWork(needs: WorkByTarget): void {
-		for (const [id, work] of Object.entries(needs)) {
+	addRequestedWork(workByTarget: WorkByTarget): void {
+		for (const [id, work] of Object.entries(workByTarget)) {
 			this._offeredLoad.set(id, (this._offeredLoad.get(id) ?? 0) + work);
 		}
 	}
@@ -168,9 +168,9 @@
 		// Without a known age of the view, requests the current state at once instead of waiting for a change.
 		const isWaiting = this._controlSelector.activeAddress !== undefined && Number.isFinite(this.ageMs());
 		const waitMs = isWaiting ? LONG_POLL_MS : 0;
-		const answered = this._syncAndSelect(address, waitMs);
-		const hasAnswered = await Promise.race([answered, pause(waitMs + RESPONSE_MARGIN_MS)]);
-		if (!hasAnswered) {
+		const responded = this._syncAndSelect(address, waitMs);
+		const hasResponded = await Promise.race([responded, pause(waitMs + RESPONSE_MARGIN_MS)]);
+		if (!hasResponded) {
 			this._recordConnectionLoss(address);
 		}
 	}
--- a/src/plugins/fleet/node/runReporter.ts
+++ b/src/plugins/fleet/node/runReporter.ts
@@ -17,13 +17,13 @@
 const RETRY_PAUSE_MS = 100;
 /** Pause between calls after that. */
 const SLOW_RETRY_PAUSE_MS = 1000;
-/** Maximum number of pending runs, and of pending answers; the oldest are dropped beyond it. */
+/** Maximum number of pending runs, and of pending digests; the oldest are dropped beyond it. */
 const MAX_PENDING = 256;
 
 /** Sends the lost runs and answers that the control instances have not yet accepted. */
 export class RunReporter {
 	private _pendingRuns: ObservedLostRun[] = [];
-	private _pendingAnswers: string[] = [];
+	private _answeredDigests: string[] = [];
 	private _isSending = false;
 	private _isStopped = false;
 
@@ -42,8 +42,8 @@
 
 	/** Queues the digest of a suspected request that a target answered. */
 	reportAnswer(digest: string): void {
-		if (!this._pendingAnswers.includes(digest)) {
-			this._pendingAnswers.push(digest);
+		if (!this._answeredDigests.includes(digest)) {
+			this._answeredDigests.push(digest);
 			this._startSending();
 		}
 	}
@@ -55,7 +55,7 @@
 
 	private _startSending(): void {
 		this._pendingRuns = this._pendingRuns.slice(-MAX_PENDING);
-		this._pendingAnswers = this._pendingAnswers.slice(-MAX_PENDING);
+		this._answeredDigests = this._answeredDigests.slice(-MAX_PENDING);
 		if (!this._isSending) {
 			this._isSending = true;
 			void this._sendPending();
@@ -64,12 +64,12 @@
 
 	private async _sendPending(): Promise<void> {
 		await pause(BATCH_WINDOW_MS);
-		for (let attempt = 0; !this._isStopped && this._pendingRuns.length + this._pendingAnswers.length > 0; attempt++) {
+		for (let attempt = 0; !this._isStopped && this._pendingRuns.length + this._answeredDigests.length > 0; attempt++) {
 			const runs = this._pendingRuns;
-			const answered = this._pendingAnswers;
+			const answered = this._answeredDigests;
 			if (await this._send(attempt, runs, answered)) {
 				this._pendingRuns = this._pendingRuns.filter(run => !runs.includes(run));
-				this._pendingAnswers = this._pendingAnswers.filter(digest => !answered.includes(digest));
+				this._answeredDigests = this._answeredDigests.filter(digest => !answered.includes(digest));
 			} else {
 				await pause(attempt < this._controlAddresses().length ? RETRY_PAUSE_MS : SLOW_RETRY_PAUSE_MS);
 			}
--- a/src/plugins/fleet/node/targetRegistrar.ts
+++ b/src/plugins/fleet/node/targetRegistrar.ts
@@ -79,7 +79,7 @@
 		const isKnown = known?.bornAt === bornAt;
 		const holderId = this._state.targetIdAt(address);
 		const holder =
-			holderId === undefined ? undefined : { id: holderId, heardAt: this._liveness.lastHeartbeatAt(holderId) };
+			holderId === undefined ? undefined : { id: holderId, lastHeartbeatAt: this._liveness.lastHeartbeatAt(holderId) };
 		const isSuperseded = known !== undefined && bornAt < known.bornAt;
 		// A target keeps its service across restarts, so a heartbeat for another service comes from a different target.
 		const isForeign = known !== undefined && service !== known.service && known.service !== '';
--- a/src/plugins/fleet/test/changeNotifier.test.ts
+++ b/src/plugins/fleet/test/changeNotifier.test.ts
@@ -11,31 +11,31 @@
 test('bursts of changes are batched, and none is delayed for long', async t => {
 	t.mock.timers.enable({ apis: ['setTimeout'] });
 	const notifier = new ChangeNotifier();
-	let answers = 0;
-	const ask = async (): Promise<void> => {
+	let responses = 0;
+	const waitRepeatedly = async (): Promise<void> => {
 		await notifier.waitForChange(5000);
-		answers++;
-		void ask();
+		responses++;
+		void waitRepeatedly();
 	};
-	void ask();
+	void waitRepeatedly();
 	for (let i = 0; i < 200; i++) {
 		notifier.scheduleNotification();
 		t.mock.timers.tick(10);
 		await Promise.resolve();
 		await Promise.resolve();
 	}
-	assert.ok(answers >= 11 && answers <= 14, `${answers} answers to 200 changes in 2 s`);
+	assert.ok(responses >= 11 && responses <= 14, `${responses} responses to 200 changes in 2 s`);
 });
 
 test('without a change a call waits for the requested time', async t => {
 	t.mock.timers.enable({ apis: ['setTimeout'] });
 	const notifier = new ChangeNotifier();
-	let isAnswered = false;
-	void notifier.waitForChange(500).then(() => (isAnswered = true));
+	let hasReturned = false;
+	void notifier.waitForChange(500).then(() => (hasReturned = true));
 	t.mock.timers.tick(499);
 	await Promise.resolve();
-	assert.equal(isAnswered, false);
+	assert.equal(hasReturned, false);
 	t.mock.timers.tick(1);
 	await Promise.resolve();
-	assert.equal(isAnswered, true);
+	assert.equal(hasReturned, true);
 });
--- a/src/plugins/fleet/test/controlSelector.test.ts
+++ b/src/plugins/fleet/test/controlSelector.test.ts
@@ -73,12 +73,12 @@
 
 test('entry instances without a control instance in their hall are spread over those of their region', () => {
 	const controls = Array.from({ length: 3 }, (_, i) => ({ address: `near:${i}`, hall: 'n2' }));
-	const asked = Array.from({ length: 30 }, (_, i) => {
+	const selected = Array.from({ length: 30 }, (_, i) => {
 		const selector = createSelector(`entry-${i}`);
 		selector.setControls(controls, SEEDS);
 		return selector.next(0)!;
 	});
-	const counts = controls.map(({ address }) => asked.filter(other => other === address).length);
+	const counts = controls.map(({ address }) => selected.filter(other => other === address).length);
 	assert.ok(Math.min(...counts) >= 4, counts.join(' '));
 });
 
--- a/src/plugins/fleet/test/entryLookUp.test.ts
+++ b/src/plugins/fleet/test/entryLookUp.test.ts
@@ -38,17 +38,17 @@
 });
 
 test('a partitioned control instance keeps returning the entry instances that it observed before', () => {
-	const sightings = new LivenessTracker({ entryTimeoutMs: 2500, heartbeatTimeoutMs: 4500 }, 0);
+	const liveness = new LivenessTracker({ entryTimeoutMs: 2500, heartbeatTimeoutMs: 4500 }, 0);
 	const clock = new ObservationCompleteness();
 	for (let now = 0; now <= 2000; now += 250) {
 		clock.setConnected(true, now);
-		['a', 'b', 'c'].forEach(name => sightings.recordEntry(entry(name), now));
+		['a', 'b', 'c'].forEach(name => liveness.recordEntry(entry(name), now));
 	}
 	for (let now = 2250; now <= 9000; now += 250) {
 		clock.setConnected(false, now);
-		sightings.recordEntry(entry('c'), now);
+		liveness.recordEntry(entry('c'), now);
 	}
-	assert.deepEqual(names(sightings.liveEntries(clock.lastCompleteAt(9000)!)), ['a', 'b', 'c']);
+	assert.deepEqual(names(liveness.liveEntries(clock.lastCompleteAt(9000)!)), ['a', 'b', 'c']);
 	assert.equal(clock.lastCompleteAt(30000), undefined);
 });
 
--- a/src/plugins/fleet/test/fleetView.test.ts
+++ b/src/plugins/fleet/test/fleetView.test.ts
@@ -97,21 +97,21 @@
 });
 
 test('an entry instance that stops reporting is no longer live', () => {
-	const sightings = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
+	const liveness = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
 	const entry = describeEntry();
-	sightings.recordEntry(entry, 100);
-	assert.equal(sightings.liveEntries(1000).length, 1);
-	assert.equal(sightings.liveEntries(1200).length, 0);
+	liveness.recordEntry(entry, 100);
+	assert.equal(liveness.liveEntries(1000).length, 1);
+	assert.equal(liveness.liveEntries(1200).length, 0);
 });
 
 test('an outdated report of an entry instance is ignored', () => {
 	const entry = describeEntry({ sequence: 2, isReady: false });
-	const sightings = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
-	sightings.recordEntry(entry, 100);
-	sightings.recordEntry({ ...entry, sequence: 1, isReady: true }, 200);
-	assert.equal(sightings.liveEntries(300)[0]?.isReady, false);
-	sightings.recordEntry({ ...entry, incarnation: 'restarted', sequence: 1, isReady: true }, 400);
-	assert.equal(sightings.liveEntries(500)[0]?.isReady, true);
+	const liveness = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 1000 }, 0);
+	liveness.recordEntry(entry, 100);
+	liveness.recordEntry({ ...entry, sequence: 1, isReady: true }, 200);
+	assert.equal(liveness.liveEntries(300)[0]?.isReady, false);
+	liveness.recordEntry({ ...entry, incarnation: 'restarted', sequence: 1, isReady: true }, 400);
+	assert.equal(liveness.liveEntries(500)[0]?.isReady, true);
 });
 
 test('a revision is in force once all live entry instances have applied it', () => {
@@ -166,11 +166,11 @@
 });
 
 test('after an interruption, a control instance reports no target silent until heartbeats could have arrived again', () => {
-	const sightings = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 4500 }, 0);
-	sightings.recordHeartbeat({ id: 'a', bornAt: 0, sequence: 1, coldLeftMs: 0 }, 1000);
-	assert.equal(sightings.isSilent('a', 6000, 0), true);
-	assert.equal(sightings.isSilent('a', 6000, 5000), false);
-	assert.equal(sightings.isSilent('a', 7500, 5000), true);
+	const liveness = new LivenessTracker({ entryTimeoutMs: 1000, heartbeatTimeoutMs: 4500 }, 0);
+	liveness.recordHeartbeat({ id: 'a', bornAt: 0, sequence: 1, coldLeftMs: 0 }, 1000);
+	assert.equal(liveness.isSilent('a', 6000, 0), true);
+	assert.equal(liveness.isSilent('a', 6000, 5000), false);
+	assert.equal(liveness.isSilent('a', 7500, 5000), true);
 });
 
 test('a repeated response keeps later reports of silent targets effective for the targets of a service', () => {
@@ -183,16 +183,16 @@
 });
 
 test('unchanged reports of an entry instance are relayed at intervals, changes at once', () => {
-	const sightings = new LivenessTracker({ entryTimeoutMs: 2500, heartbeatTimeoutMs: 4500 }, 0);
-	const passedOn = (now: number, revision: number): number => {
-		sightings.recordEntry(describeEntry({ sequence: now, revision }), now);
-		return sightings.takeUnsent(now).entries.length;
+	const liveness = new LivenessTracker({ entryTimeoutMs: 2500, heartbeatTimeoutMs: 4500 }, 0);
+	const relayedCount = (now: number, revision: number): number => {
+		liveness.recordEntry(describeEntry({ sequence: now, revision }), now);
+		return liveness.takeUnsent(now).entries.length;
 	};
 	assert.deepEqual(
-		[0, 250, 500, 750, 1000].map(now => passedOn(now, 1)),
+		[0, 250, 500, 750, 1000].map(now => relayedCount(now, 1)),
 		[1, 0, 0, 1, 0]
 	);
-	assert.equal(passedOn(1250, 2), 1);
+	assert.equal(relayedCount(1250, 2), 1);
 });
 
 test('heartbeats of a restarted target are accepted from sequence 1, and late ones of the earlier incarnation are ignored', () => {
--- a/src/plugins/fleet/test/limitedTargetSimulation.ts
+++ b/src/plugins/fleet/test/limitedTargetSimulation.ts
@@ -68,9 +68,9 @@
 	}
 
 	restart(index: number): void {
-		const place = index % this._instances.length;
-		const { name, isDisconnected } = this._instances[place]!;
-		this._instances[place] = { ...this._startInstance(name), isDisconnected };
+		const position = index % this._instances.length;
+		const { name, isDisconnected } = this._instances[position]!;
+		this._instances[position] = { ...this._startInstance(name), isDisconnected };
 	}
 
 	/**
@@ -85,7 +85,7 @@
 		if (!record || !limits.hasCapacity(record, true, this.now)) {
 			return false;
 		}
-		const isAdmitted = limits.tryTakeOwnPermit(record, this.now) || this._borrowPermit(limits, record, isLost);
+		const isAdmitted = limits.tryTakeOwnPermit(record, this.now) || this._requestRemotePermit(limits, record, isLost);
 		if (isAdmitted) {
 			this.sentAt.push(this.now);
 		}
@@ -97,18 +97,18 @@
 		return Math.max(0, ...this.sentAt.map((at, i) => this.sentAt.filter(other => other < at + windowMs).length - i));
 	}
 
-	private _borrowPermit(limits: TargetLimitTable, record: TargetRecord, isLost: boolean): boolean {
-		const lender = limits.findPermitProvider(record, this.now);
-		const other = this._instances.find(({ name }) => name === lender?.name);
-		const answer = other?.limits.grantPermit({ targetId: TARGET_ID, bornAt: record.bornAt }, this.now);
-		if (!answer || isLost) {
-			limits.recordUnresponsive(lender?.name ?? '', this.now);
+	private _requestRemotePermit(limits: TargetLimitTable, record: TargetRecord, isLost: boolean): boolean {
+		const provider = limits.findPermitProvider(record, this.now);
+		const other = this._instances.find(({ name }) => name === provider?.name);
+		const response = other?.limits.grantPermit({ targetId: TARGET_ID, bornAt: record.bornAt }, this.now);
+		if (!response || isLost) {
+			limits.recordUnresponsive(provider?.name ?? '', this.now);
 			return false;
 		}
-		if (!answer.isGranted) {
-			limits.recordDenied(record, lender!.name, answer.waitMs, this.now);
+		if (!response.isGranted) {
+			limits.recordDenied(record, provider!.name, response.waitMs, this.now);
 		}
-		return answer.isGranted;
+		return response.isGranted;
 	}
 
 	private _startInstance(name: string): SimulatedInstance {
--- a/src/plugins/fleet/test/quarantine.test.ts
+++ b/src/plugins/fleet/test/quarantine.test.ts
@@ -47,29 +47,29 @@
 });
 
 test('targets that terminate together count once, in whichever order they are reported', () => {
-	const order = new IndependentLossFilter();
-	assert.equal(order.recordIfIndependent(reportedRun(1, 0, 1000), 0), true);
-	assert.equal(order.recordIfIndependent(reportedRun(2, 900, 1000), 0), false);
+	const filter = new IndependentLossFilter();
+	assert.equal(filter.recordIfIndependent(reportedRun(1, 0, 1000), 0), true);
+	assert.equal(filter.recordIfIndependent(reportedRun(2, 900, 1000), 0), false);
 	assert.equal(
-		order.recordIfIndependent(reportedRun(3, 1100, 1600), 0),
+		filter.recordIfIndependent(reportedRun(3, 1100, 1600), 0),
 		false,
 		'sent when its sender may not have noticed the first loss'
 	);
-	assert.equal(order.recordIfIndependent(reportedRun(4, 1500, 1900), 0), true);
-	assert.equal(order.recordIfIndependent(reportedRun(4, 1500, 1900), 0), true, 'reported again');
+	assert.equal(filter.recordIfIndependent(reportedRun(4, 1500, 1900), 0), true);
+	assert.equal(filter.recordIfIndependent(reportedRun(4, 1500, 1900), 0), true, 'reported again');
 });
 
 test('a run counts if it was certainly sent after the previous one: in the same attempt, or by an instance that knew of the suspicion', () => {
-	const order = new IndependentLossFilter();
-	assert.equal(order.recordIfIndependent(reportedRun(1, 0, 1000), 0), true);
+	const filter = new IndependentLossFilter();
+	assert.equal(filter.recordIfIndependent(reportedRun(1, 0, 1000), 0), true);
 	const again = { requestId: 'r-1', afterTargetId: 't-1' };
 	assert.equal(
-		order.recordIfIndependent(reportedRun(2, 1001, 1002, again), 0),
+		filter.recordIfIndependent(reportedRun(2, 1001, 1002, again), 0),
 		false,
 		'two targets of one hall that terminate together'
 	);
-	assert.equal(order.recordIfIndependent(reportedRun(3, 1001, 1080, again), 0), true);
-	assert.equal(order.recordIfIndependent(reportedRun(4, 1100, 1180, { wasSuspected: true }), 0), true);
+	assert.equal(filter.recordIfIndependent(reportedRun(3, 1001, 1080, again), 0), true);
+	assert.equal(filter.recordIfIndependent(reportedRun(4, 1100, 1180, { wasSuspected: true }), 0), true);
 });
 
 test('requests of one team do not evict those of another, and quarantined requests outlast the others', () => {
@@ -105,19 +105,19 @@
 });
 
 test('an entry instance keeps the latest revision and reports cleared requests', () => {
-	const known = new QuarantineView();
+	const view = new QuarantineView();
 	const cleared: string[] = [];
-	known.onDidClear(digest => cleared.push(digest));
+	view.onDidClear(digest => cleared.push(digest));
 	const record = {
 		digest: 'd',
 		pathHash: 5,
 		team: '',
 		runs: [1, 2, 3].map(n => ({ requestId: `r-${n}`, targetId: 't' }))
 	};
-	known.apply({ revision: 3, records: [record] });
-	known.apply({ revision: 2, records: [] });
-	assert.equal(known.phase('d'), QuarantinePhase.Quarantined);
-	assert.deepEqual([known.mayContain(5), known.mayContain(6)], [true, false]);
-	known.apply({ revision: 4, records: [] });
-	assert.deepEqual([known.phase('d'), cleared, known.isEmpty], [QuarantinePhase.Clear, ['d'], true]);
+	view.apply({ revision: 3, records: [record] });
+	view.apply({ revision: 2, records: [] });
+	assert.equal(view.phase('d'), QuarantinePhase.Quarantined);
+	assert.deepEqual([view.mayContain(5), view.mayContain(6)], [true, false]);
+	view.apply({ revision: 4, records: [] });
+	assert.deepEqual([view.phase('d'), cleared, view.isEmpty], [QuarantinePhase.Clear, ['d'], true]);
 });
--- a/src/plugins/fleet/test/requestedWork.test.ts
+++ b/src/plugins/fleet/test/requestedWork.test.ts
@@ -20,45 +20,45 @@
 
 /** Adds constant work at each target, in slots, every 250 ms. */
 function addConstantWork(
-	needs: RequestedWork,
+	work: RequestedWork,
 	slots: Readonly<Record<string, number>>,
 	from: number,
 	until: number
 ): void {
 	for (let now = from; now < until; now += 250) {
-		needs.addReported(Object.fromEntries(Object.entries(slots).map(([id, needed]) => [id, needed / 4])), now);
+		work.addReported(Object.fromEntries(Object.entries(slots).map(([id, needed]) => [id, needed / 4])), now);
 	}
 }
 
-function keptPartOf(needs: RequestedWork, id: string, now: number): number {
-	return needs.findCrowded(TARGETS, () => 'r', now).find(crowded => crowded.id === id)?.keptPart ?? 1;
+function keptPartOf(work: RequestedWork, id: string, now: number): number {
+	return work.findCrowded(TARGETS, () => 'r', now).find(crowded => crowded.id === id)?.keptPart ?? 1;
 }
 
 test('an overloaded target keeps the fraction of objects that it can serve, the others keep all', () => {
-	const needs = new RequestedWork();
-	addConstantWork(needs, { a: 13, b: 4 }, 0, 20000);
-	assert.ok(Math.abs(needs.slotsNeeded('a', 20000) - 13) < 1.5);
-	assert.ok(Math.abs(keptPartOf(needs, 'a', 20000) - 6.5 / 13) < 0.08);
-	assert.equal(keptPartOf(needs, 'b', 20000), 1);
+	const work = new RequestedWork();
+	addConstantWork(work, { a: 13, b: 4 }, 0, 20000);
+	assert.ok(Math.abs(work.slotsNeeded('a', 20000) - 13) < 1.5);
+	assert.ok(Math.abs(keptPartOf(work, 'a', 20000) - 6.5 / 13) < 0.08);
+	assert.equal(keptPartOf(work, 'b', 20000), 1);
 });
 
 test('if all targets are overloaded equally, none moves objects away', () => {
-	const needs = new RequestedWork();
-	addConstantWork(needs, Object.fromEntries(TARGETS.map(({ id }) => [id, 20])), 0, 20000);
+	const work = new RequestedWork();
+	addConstantWork(work, Object.fromEntries(TARGETS.map(({ id }) => [id, 20])), 0, 20000);
 	assert.deepEqual(
-		needs.findCrowded(TARGETS, () => 'r', 20000),
+		work.findCrowded(TARGETS, () => 'r', 20000),
 		[]
 	);
 });
 
 test('small changes of requested work do not change the kept fraction; once the overload ends, all objects return', () => {
-	const needs = new RequestedWork();
-	addConstantWork(needs, { a: 13 }, 0, 20000);
-	const kept = keptPartOf(needs, 'a', 20000);
-	addConstantWork(needs, { a: 12 }, 20000, 40000);
-	assert.equal(keptPartOf(needs, 'a', 40000), kept);
-	addConstantWork(needs, { a: 2 }, 40000, 60000);
-	assert.equal(keptPartOf(needs, 'a', 60000), 1);
+	const work = new RequestedWork();
+	addConstantWork(work, { a: 13 }, 0, 20000);
+	const kept = keptPartOf(work, 'a', 20000);
+	addConstantWork(work, { a: 12 }, 20000, 40000);
+	assert.equal(keptPartOf(work, 'a', 40000), kept);
+	addConstantWork(work, { a: 2 }, 40000, 60000);
+	assert.equal(keptPartOf(work, 'a', 60000), 1);
 });
 
 test('work reported to one control instance is counted once at the others', () => {
@@ -73,11 +73,11 @@
 });
 
 test('the first work of a target is averaged over one second, and leaving targets are not reported as crowded', () => {
-	const needs = new RequestedWork();
-	needs.addReported({ a: 12 }, 1000);
-	assert.ok(Math.abs(needs.slotsNeeded('a', 1000) - 12) < 2);
+	const work = new RequestedWork();
+	work.addReported({ a: 12 }, 1000);
+	assert.ok(Math.abs(work.slotsNeeded('a', 1000) - 12) < 2);
 	assert.deepEqual(
-		needs.findCrowded([target('a', TargetPhase.Leaving)], () => 'r', 1000),
+		work.findCrowded([target('a', TargetPhase.Leaving)], () => 'r', 1000),
 		[]
 	);
 });
--- a/src/plugins/fleet/test/runReporter.test.ts
+++ b/src/plugins/fleet/test/runReporter.test.ts
@@ -27,7 +27,7 @@
 		call: async (address: string, _method: unknown, request: ReportRunsRequest) => {
 			this.calledAddresses.push(address);
 			if (!this.reachable.has(address)) {
-				throw new Error('no answer');
+				throw new Error('no response');
 			}
 			this.receivedRequests.push(request);
 			return { received: true };
--- a/src/plugins/fleet/test/staleHeartbeatFilter.test.ts
+++ b/src/plugins/fleet/test/staleHeartbeatFilter.test.ts
@@ -12,7 +12,7 @@
 
 test('a heartbeat of a registered target is stale if another one has taken over its address', () => {
 	const filter = new StaleHeartbeatFilter();
-	const owner = { id: 'new', heardAt: 1000 };
+	const owner = { id: 'new', lastHeartbeatAt: 1000 };
 	assert.equal(filter.isStale('old', true, owner, 9000), true);
 	assert.equal(filter.isStale('new', true, owner, 9000), false);
 	assert.equal(filter.isStale('alone', true, undefined, 9000), false);
@@ -20,7 +20,7 @@
 
 test('at the address of a live target, a new target is only registered after a confirming heartbeat', () => {
 	const filter = new StaleHeartbeatFilter();
-	const owner = { id: 'here', heardAt: 1000 };
+	const owner = { id: 'here', lastHeartbeatAt: 1000 };
 	assert.equal(filter.isStale('other', false, owner, 1500), true);
 	assert.equal(
 		filter.isStale('other', false, owner, 1510),
@@ -32,7 +32,7 @@
 
 test('at the address of a silent target, a new target is registered at once', () => {
 	const filter = new StaleHeartbeatFilter();
-	assert.equal(filter.isStale('next', false, { id: 'crashed', heardAt: 1000 }, 4500), false);
+	assert.equal(filter.isStale('next', false, { id: 'crashed', lastHeartbeatAt: 1000 }, 4500), false);
 });
 
 test('the fleet state keeps the last target registered at an address, also after save and restore', () => {
--- a/src/plugins/fleet/test/viewAge.test.ts
+++ b/src/plugins/fleet/test/viewAge.test.ts
@@ -26,7 +26,7 @@
 		return this._wall;
 	}
 
-	pass(ms: number): void {
+	advance(ms: number): void {
 		this._monotonic += ms;
 		this._wall += ms;
 	}
@@ -41,10 +41,10 @@
 	const age = new ViewAge(clock);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 	const asked = age.timestampRequest();
-	clock.pass(700);
+	clock.advance(700);
 	age.recordCurrentAnswer(asked, 500, 30);
 	assert.equal(age.ageMs(), 230);
-	clock.pass(100);
+	clock.advance(100);
 	assert.equal(age.ageMs(), 330);
 });
 
@@ -58,7 +58,7 @@
 	age.recordCurrentAnswer(askedBefore, 500, 0);
 	assert.equal(age.ageMs(), Number.POSITIVE_INFINITY);
 	const askedAfter = age.timestampRequest();
-	clock.pass(20);
+	clock.advance(20);
 	age.recordCurrentAnswer(askedAfter, 0, 0);
 	assert.equal(age.ageMs(), 20);
 });
--- a/src/plugins/forwarding/common/placement/hallPreference.ts
+++ b/src/plugins/forwarding/common/placement/hallPreference.ts
@@ -3,7 +3,7 @@
  *--------------------------------------------------------------------------------------------*/
 
 /**
- * Decides whether large answers are preferably served within the caller's own data hall: traffic between halls is charged by
+ * Decides whether large responses are preferably served within the caller's own data hall: traffic between halls is charged by
  * the byte.
  */
 
--- a/src/plugins/forwarding/common/placement/placementPlans.ts
+++ b/src/plugins/forwarding/common/placement/placementPlans.ts
@@ -42,7 +42,7 @@
 	readonly service: string;
 }
 
-/** The plan of a service for all routes with the same home regions and size of answers. */
+/** The plan of a service for all routes with the same home regions and size of responses. */
 interface ServicePlan {
 	readonly capacities: RegionCapacities;
 	readonly rejections: RegionRejections;
@@ -69,7 +69,7 @@
 }
 
 /**
- * Keeps plans by service, home regions and size of answers, and current shares by route. All routes of a service follow the
+ * Keeps plans by service, home regions and size of responses, and current shares by route. All routes of a service follow the
  * same plan, but each from its own shares: when a route table changes the services or weights of a route, its requests start
  * from the regions in which they ran before.
  */
--- a/src/plugins/forwarding/common/placement/regionShares.ts
+++ b/src/plugins/forwarding/common/placement/regionShares.ts
@@ -29,15 +29,15 @@
  * queue delays all of them, so sending a request to another region costs less than a cache miss.
  */
 const MAX_RELATIVE_LOAD = 1.25;
-/** The same for large answers, which cost more to transfer between regions than to wait for. */
-const MAX_RELATIVE_LOAD_LARGE_ANSWERS = 2.5;
+/** The same for large responses, which cost more to transfer between regions than to wait for. */
+const MAX_RELATIVE_LOAD_LARGE_RESPONSES = 2.5;
 
 /**
  * Returns the shares of one region: it keeps its callers' requests up to the maximum relative load, and the rest goes to
  * regions below that, in proportion to their spare capacity. Empty if no region has slots.
  * @param own the region of the callers
  * @param capacities all regions with callers or targets; while no demand is known, regions are assumed to have equal demand
- * @param isLarge whether the answers are large
+ * @param isLarge whether the responses are large
  */
 export function planShares(
 	own: string,
@@ -53,7 +53,7 @@
 	const demandOf = (region: string): number => (isDemandKnown ? (capacities.get(region)?.demand ?? 0) : 1);
 	const slotsOf = (region: string): number => capacities.get(region)?.slots ?? 0;
 	const regions = [...capacities.keys()].sort();
-	const factor = isLarge ? MAX_RELATIVE_LOAD_LARGE_ANSWERS : MAX_RELATIVE_LOAD;
+	const factor = isLarge ? MAX_RELATIVE_LOAD_LARGE_RESPONSES : MAX_RELATIVE_LOAD;
 	const maxLoadPerSlot = (factor * sum(regions.map(demandOf))) / slots;
 	const ownShareByLoad =
 		demandOf(own) > 0 ? Math.min(1, (maxLoadPerSlot * slotsOf(own)) / demandOf(own)) : Math.sign(slotsOf(own));
--- a/src/plugins/forwarding/common/targets/targetRefusal.ts
+++ b/src/plugins/forwarding/common/targets/targetRefusal.ts
@@ -20,8 +20,8 @@
  * @param load load report of the refusal; undefined if it has none, which counts as full
  */
 export function refusalCause(load: LoadReport | undefined): NotRunCause {
-	const hasRoom = load !== undefined && load.running < load.slots && load.waiting === 0;
-	return hasRoom ? NotRunCause.Shed : NotRunCause.Full;
+	const hasFreeSlots = load !== undefined && load.running < load.slots && load.waiting === 0;
+	return hasFreeSlots ? NotRunCause.Shed : NotRunCause.Full;
 }
 
 /** Whether a refused request may be retried at the same target. */
--- a/src/plugins/forwarding/common/targets/targetReport.ts
+++ b/src/plugins/forwarding/common/targets/targetReport.ts
@@ -84,15 +84,15 @@
  * @param wallNow current Unix time in milliseconds, used as the date of a response without a valid `Date` header
  */
 export function parseTargetReport(head: ResponseHead, names: IHeaderNames, wallNow: number): TargetReport {
-	const { statusCode: status, headers } = head;
-	const isRefusal = status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY;
+	const { statusCode, headers } = head;
+	const isRefusal = statusCode === STATUS_UNAVAILABLE || statusCode === STATUS_TOO_MANY;
 	return {
 		load: parseLoadReport(headers[names.load]),
 		backoffMs: isRefusal ? longestBackoffMs(head, names, wallNow) : 0,
 		isLeaving: headers[names.leaving] === '1',
 		limitPerSecond: lowestLimit(head, names),
 		echoesRequestId: headers[names.requestId] !== undefined,
-		isNotRun: status === STATUS_OTHER_TARGET || headers[names.notRun] !== undefined
+		isNotRun: statusCode === STATUS_OTHER_TARGET || headers[names.notRun] !== undefined
 	};
 }
 
--- a/src/plugins/forwarding/node/attemptSender.ts
+++ b/src/plugins/forwarding/node/attemptSender.ts
@@ -141,8 +141,8 @@
 			return NotRunCause.RateLimited;
 		}
 		const [host, port] = splitAddress(known.record.address);
-		const hasRoom = this._agent.hasAvailableConnection(host, port, this._maxConnections(known.record));
-		return hasRoom ? undefined : NotRunCause.ConnectionsInUse;
+		const hasAvailableConnection = this._agent.hasAvailableConnection(host, port, this._maxConnections(known.record));
+		return hasAvailableConnection ? undefined : NotRunCause.ConnectionsInUse;
 	}
 
 	/** This instance's share of the connections that a target accepts from all entry instances; unbounded for a service without configuration. */
@@ -155,10 +155,10 @@
 	}
 
 	/** Applies what the target reported in response headers: load, backoff, shutdown and rate limit. */
-	private _applyTargetReport({ known, state }: ChosenTarget, report: TargetReport, askedAt: Millis): void {
+	private _applyTargetReport({ known, state }: ChosenTarget, report: TargetReport, requestSentAt: Millis): void {
 		const now = systemClock.now();
 		const { outcomeTracker, backoffMonitor } = this._dependencies;
-		this._applyTargetLimit(known.record, report, askedAt);
+		this._applyTargetLimit(known.record, report, requestSentAt);
 		outcomeTracker.recordLoad(state, report.load, now);
 		backoffMonitor.recordReport(known.record, state, report, state.inFlight, now);
 		state.backoff.apply(report, now);
@@ -167,10 +167,10 @@
 		}
 	}
 
-	private _applyTargetLimit(record: TargetRecord, report: TargetReport, askedAt: Millis): void {
-		const { limitPerSecond: perSecond, echoesRequestId: hasEcho } = report;
-		if (perSecond !== undefined || hasEcho) {
-			this._dependencies.limits.applyReport(record, { perSecond, requestSentAt: askedAt });
+	private _applyTargetLimit(record: TargetRecord, report: TargetReport, requestSentAt: Millis): void {
+		const { limitPerSecond: perSecond, echoesRequestId } = report;
+		if (perSecond !== undefined || echoesRequestId) {
+			this._dependencies.limits.applyReport(record, { perSecond, requestSentAt });
 		}
 	}
 
--- a/src/plugins/forwarding/node/forwardingTask.ts
+++ b/src/plugins/forwarding/node/forwardingTask.ts
@@ -91,9 +91,9 @@
 			share,
 			this._targetLimits
 		);
-		const { onDidShiftFromLostTargets: onDidStepFar } = this._selector;
+		const { onDidShiftFromLostTargets } = this._selector;
 		const regionTrafficMonitor = this._register(
-			new RegionTrafficMonitor(_session, log, this._serviceBounds.shifts.windowMs, onDidStepFar)
+			new RegionTrafficMonitor(_session, log, this._serviceBounds.shifts.windowMs, onDidShiftFromLostTargets)
 		);
 		const lostRunDetector = this._register(new LostRunDetector(metrics, log));
 		this._quarantineGuard = this._register(new QuarantineGuard(_session, lostRunDetector));
--- a/src/plugins/forwarding/node/placement/targetSelector.ts
+++ b/src/plugins/forwarding/node/placement/targetSelector.ts
@@ -181,10 +181,10 @@
 		if (!primary || !deferred.some(({ state }) => state === primary.state)) {
 			return undefined;
 		}
-		const { backoff: rest } = primary.state;
+		const { backoff } = primary.state;
 		const target = primary.known.record.id;
-		return rest.isActive(now)
-			? { target, restLeftMs: Math.round(rest.endsAt - now) }
+		return backoff.isActive(now)
+			? { target, restLeftMs: Math.round(backoff.endsAt - now) }
 			: { target, limitPerSecond: this._targetLimits.perSecond(primary.known.record, now) };
 	}
 
--- a/src/plugins/forwarding/node/targets/outcomeTracker.ts
+++ b/src/plugins/forwarding/node/targets/outcomeTracker.ts
@@ -52,7 +52,7 @@
 	 * @param durationMs time from the selection of the target to the outcome
 	 */
 	recordOutcome(
-		journey: RequestContext,
+		context: RequestContext,
 		state: TargetState,
 		outcome: AttemptOutcome,
 		durationMs: Millis,
@@ -61,7 +61,7 @@
 		recordContact(state, outcome, now);
 		switch (outcome.type) {
 			case 'answer':
-				this._recordResponse(journey.service, state, outcome, durationMs, now);
+				this._recordResponse(context.service, state, outcome, durationMs, now);
 				break;
 			case 'not-run':
 				recordNotRun(state, outcome.cause, now);
@@ -70,8 +70,8 @@
 				state.health.recordFailure(now);
 				break;
 			case 'abandoned':
-				if (!journey.exchange.isDisconnected) {
-					state.health.recordTimeout(durationMs, this._demandOf(journey.service, now).meanLatencyMs, now);
+				if (!context.exchange.isDisconnected) {
+					state.health.recordTimeout(durationMs, this._demandOf(context.service, now).meanLatencyMs, now);
 				}
 				break;
 		}
--- a/src/plugins/forwarding/node/targets/targetStates.ts
+++ b/src/plugins/forwarding/node/targets/targetStates.ts
@@ -30,7 +30,7 @@
 
 	constructor(
 		private readonly _view: FleetView,
-		private readonly _room: ITargetLimitStatus
+		private readonly _limitStatus: ITargetLimitStatus
 	) {
 		_view.setReachability(this);
 	}
@@ -85,7 +85,8 @@
 				reachableRegions.add(known.region);
 			}
 			if (!tried.has(known.record.id)) {
-				const isAvailable = !state.backoff.isActive(now) && this._room.hasCapacity(known.record, mayRequestPermit, now);
+				const isAvailable =
+					!state.backoff.isActive(now) && this._limitStatus.hasCapacity(known.record, mayRequestPermit, now);
 				(isAvailable ? candidates : deferred).push({ known, state });
 			}
 		}
--- a/src/plugins/forwarding/test/choice.test.ts
+++ b/src/plugins/forwarding/test/choice.test.ts
@@ -94,17 +94,17 @@
 });
 
 test('a region with few targets keeps what they can serve and sends the rest to regions with spare capacity', () => {
-	const rooms = new Map([
+	const capacities = new Map([
 		['north', { slots: 108, demand: 30 }],
 		['central', { slots: 18, demand: 30 }],
 		['south', { slots: 90, demand: 30 }]
 	]);
-	const shares = planShares('central', rooms);
+	const shares = planShares('central', capacities);
 	assert.equal(shares[0]!.region, 'central');
 	assert.ok(shares[0]!.share > 0.3 && shares[0]!.share < 0.5);
 	assert.ok(Math.abs(shares.reduce((sum, share) => sum + share.share, 0) - 1) < 1e-9);
-	assert.equal(planShares('north', rooms)[0]!.share, 1);
-	const lowDemand = new Map([...rooms].map(([region, room]) => [region, { ...room, demand: 5 }]));
+	assert.equal(planShares('north', capacities)[0]!.share, 1);
+	const lowDemand = new Map([...capacities].map(([region, capacity]) => [region, { ...capacity, demand: 5 }]));
 	assert.ok(
 		planShares('central', lowDemand)[0]!.share < 0.5,
 		'low demand does not raise the share of a region above its capacity'
@@ -122,17 +122,17 @@
 });
 
 test('retries stay within this instance’s part of the budget', () => {
-	const allowance = new ServiceRetryBudget({ ratio: 0.2, windowMs: 10000, slack: 9 });
+	const budget = new ServiceRetryBudget({ ratio: 0.2, windowMs: 10000, slack: 9 });
 	for (let i = 0; i < 100; i++) {
-		allowance.recordFirstAttempt(50000 + i);
+		budget.recordFirstAttempt(50000 + i);
 	}
 	let taken = 0;
-	while (allowance.tryTake(9, 50200)) {
+	while (budget.tryTake(9, 50200)) {
 		taken++;
 	}
 	assert.ok(taken > 5 && taken <= 21);
-	assert.equal(allowance.tryTake(9, 58000), false);
-	assert.equal(allowance.tryTake(9, 75000), false);
+	assert.equal(budget.tryTake(9, 58000), false);
+	assert.equal(budget.tryTake(9, 75000), false);
 });
 
 test('a cold target admits one request at once and further ones at its rate', () => {
--- a/src/plugins/forwarding/test/linkPacer.test.ts
+++ b/src/plugins/forwarding/test/linkPacer.test.ts
@@ -57,23 +57,23 @@
 });
 
 test('requests with large responses are admitted as far as the link can transfer them within their objective', () => {
-	const gate = new LargeResponseLimiter(8);
+	const limiter = new LargeResponseLimiter(8);
 	const route = { name: 'files', objectiveMs: 420 } as Route;
-	const first = gate.tryAdmit(route)!;
+	const first = limiter.tryAdmit(route)!;
 	assert.equal(first, 0);
-	gate.recordSize(route, 200000);
-	const admitted = [gate.tryAdmit(route), gate.tryAdmit(route), gate.tryAdmit(route), gate.tryAdmit(route)];
+	limiter.recordSize(route, 200000);
+	const admitted = [limiter.tryAdmit(route), limiter.tryAdmit(route), limiter.tryAdmit(route), limiter.tryAdmit(route)];
 	assert.deepEqual(admitted, [200000, 200000, 200000, undefined]);
-	gate.release(200000);
-	assert.equal(gate.tryAdmit(route), 200000);
+	limiter.release(200000);
+	assert.equal(limiter.tryAdmit(route), 200000);
 });
 
 test('a single large response is admitted on any link', () => {
-	const gate = new LargeResponseLimiter(0.1);
+	const limiter = new LargeResponseLimiter(0.1);
 	const route = { name: 'files', objectiveMs: 500 } as Route;
-	gate.recordSize(route, 200000);
-	assert.equal(gate.tryAdmit(route), 200000);
-	assert.equal(gate.tryAdmit(route), undefined);
+	limiter.recordSize(route, 200000);
+	assert.equal(limiter.tryAdmit(route), 200000);
+	assert.equal(limiter.tryAdmit(route), undefined);
 });
 
 test('chunks of the oldest body are sent first', async () => {
--- a/src/plugins/forwarding/test/lostRunDetector.test.ts
+++ b/src/plugins/forwarding/test/lostRunDetector.test.ts
@@ -19,7 +19,7 @@
 import { identityOf } from '../node/requestDigest.js';
 import type { RequestBody } from '../node/requestBody.js';
 
-interface Asked {
+interface RequestFields {
 	readonly method?: string;
 	readonly host?: string;
 	readonly path?: string;
@@ -27,21 +27,26 @@
 	readonly body?: string;
 }
 
-function exchangeOf({ method = 'GET', host = 'shop.example', path = '/read/1', keyDigest }: Asked): CallerExchange {
+function exchangeOf({
+	method = 'GET',
+	host = 'shop.example',
+	path = '/read/1',
+	keyDigest
+}: RequestFields): CallerExchange {
 	return { request: { method, headers: {} }, host, path, keyDigest, requestId: 'r-1' } as unknown as CallerExchange;
 }
 
-function bodyOf({ body = '' }: Asked): RequestBody {
+function bodyOf({ body = '' }: RequestFields): RequestBody {
 	return { prefix: Buffer.from(body), bufferedLength: body.length } as unknown as RequestBody;
 }
 
-function digestOf(asked: Asked): string {
-	return identityOf(contextOf(asked)).digest;
+function digestOf(fields: RequestFields): string {
+	return identityOf(contextOf(fields)).digest;
 }
 
-function contextOf(asked: Asked): RequestContext {
-	const known = { phase: QuarantinePhase.Clear, attempts: [] };
-	return { exchange: exchangeOf(asked), body: bodyOf(asked), ...known } as unknown as RequestContext;
+function contextOf(fields: RequestFields): RequestContext {
+	const state = { phase: QuarantinePhase.Clear, attempts: [] };
+	return { exchange: exchangeOf(fields), body: bodyOf(fields), ...state } as unknown as RequestContext;
 }
 
 /** Listens on the loopback interface; resolves with the address. */
@@ -52,17 +57,17 @@
 }
 
 function targetAt(address: string): TargetRecord {
-	const told = { id: 'i-1', bornAt: 0, service: 's', address, hall: 'h', version: 'v1', slots: 4 };
-	return { ...told, phase: TargetPhase.Serving, changedAt: 1, pacedSenders: [] };
+	const description = { id: 'i-1', bornAt: 0, service: 's', address, hall: 'h', version: 'v1', slots: 4 };
+	return { ...description, phase: TargetPhase.Serving, changedAt: 1, pacedSenders: [] };
 }
 
 /** Runs that are reported as lost after attempts that broke for these causes. */
 async function lostAt(address: string, causes: readonly ResponseFailureCause[]): Promise<readonly ObservedLostRun[]> {
-	const watch = new LostRunDetector(new MetricsService(), { warn: () => undefined } as unknown as ILogService);
+	const detector = new LostRunDetector(new MetricsService(), { warn: () => undefined } as unknown as ILogService);
 	const lost: ObservedLostRun[] = [];
-	watch.onDidLose(run => lost.push(run));
+	detector.onDidLose(run => lost.push(run));
 	causes.forEach(cause =>
-		watch.recordAttempt(contextOf({}), targetAt(address), { type: 'broken', cause }, systemClock.now() - 5)
+		detector.recordAttempt(contextOf({}), targetAt(address), { type: 'broken', cause }, systemClock.now() - 5)
 	);
 	await new Promise(resolve => setTimeout(resolve, 100));
 	return lost;
@@ -82,13 +87,8 @@
 	const server = createServer();
 	const address = await listen(server);
 	await new Promise(resolve => server.close(resolve));
-	const {
-		ConnectionLost,
-		ResponseTruncated: BrokenOff,
-		MalformedResponse: Garbled,
-		ResponseMismatch: OtherAnswer
-	} = ResponseFailureCause;
-	const lost = await lostAt(address, [ConnectionLost, Garbled, OtherAnswer, BrokenOff]);
+	const { ConnectionLost, ResponseTruncated, MalformedResponse, ResponseMismatch } = ResponseFailureCause;
+	const lost = await lostAt(address, [ConnectionLost, MalformedResponse, ResponseMismatch, ResponseTruncated]);
 	assert.deepEqual(
 		lost.map(({ requestId, targetId }) => [requestId, targetId]),
 		[
@@ -100,16 +100,16 @@
 });
 
 test('the identity of a request depends on API key, method, host, path and body', () => {
-	const asked = { method: 'POST', path: '/order/1?a=b', keyDigest: 'k', body: 'two units' };
-	assert.equal(digestOf(asked), digestOf({ ...asked, host: 'SHOP.example' }));
+	const fields = { method: 'POST', path: '/order/1?a=b', keyDigest: 'k', body: 'two units' };
+	assert.equal(digestOf(fields), digestOf({ ...fields, host: 'SHOP.example' }));
 	const others = [
-		{ ...asked, method: 'PUT' },
-		{ ...asked, host: 'other.example' },
-		{ ...asked, path: '/order/1' },
-		{ ...asked, keyDigest: 'l' },
-		{ ...asked, keyDigest: undefined },
-		{ ...asked, body: 'two unit' },
-		{ ...asked, path: '/order/1?a=btwo', body: ' units' }
+		{ ...fields, method: 'PUT' },
+		{ ...fields, host: 'other.example' },
+		{ ...fields, path: '/order/1' },
+		{ ...fields, keyDigest: 'l' },
+		{ ...fields, keyDigest: undefined },
+		{ ...fields, body: 'two unit' },
+		{ ...fields, path: '/order/1?a=btwo', body: ' units' }
 	];
-	assert.equal(new Set([asked, ...others].map(digestOf)).size, others.length + 1);
+	assert.equal(new Set([fields, ...others].map(digestOf)).size, others.length + 1);
 });
--- a/src/plugins/forwarding/test/placement.test.ts
+++ b/src/plugins/forwarding/test/placement.test.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** Placement: first requests to new targets, hall preference for large answers, and region shares. */
+/** Placement: first requests to new targets, hall preference for large responses, and region shares. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -60,7 +60,7 @@
 	);
 });
 
-test('a hall with roughly the mean number of slots serves its own large answers', () => {
+test('a hall with roughly the mean number of slots serves its own large responses', () => {
 	assert.equal(
 		hasProportionateSlots(
 			'a',
@@ -103,23 +103,23 @@
 	assert.match(choose()!, /^far/);
 });
 
-test('large answers stay in their region up to a higher load than small ones', () => {
-	const rooms = new Map([
+test('large responses stay in their region up to a higher load than small ones', () => {
+	const capacities = new Map([
 		['small', { slots: 10, demand: 10 }],
 		['big', { slots: 90, demand: 10 }]
 	]);
-	const keptOf = (isLarge: boolean): number => planShares('small', rooms, isLarge)[0]!.share;
+	const keptOf = (isLarge: boolean): number => planShares('small', capacities, isLarge)[0]!.share;
 	assert.ok(Math.abs(keptOf(false) - 0.25) < 1e-9);
 	assert.ok(Math.abs(keptOf(true) - 0.5) < 1e-9);
 });
 
 test('a region without targets keeps no requests, and a region without callers takes requests of others', () => {
-	const rooms = new Map([
+	const capacities = new Map([
 		['empty', { slots: 0, demand: 10 }],
 		['idle', { slots: 50, demand: undefined }],
 		['busy', { slots: 50, demand: 10 }]
 	]);
-	const shares = planShares('empty', rooms);
+	const shares = planShares('empty', capacities);
 	assert.equal(shares[0]!.share, 0);
 	assert.ok(shares.find(share => share.region === 'idle')!.share > 0.7);
 });
--- a/src/plugins/forwarding/test/regionCallers.ts
+++ b/src/plugins/forwarding/test/regionCallers.ts
@@ -50,13 +50,13 @@
 
 interface RunningRequest {
 	readonly endsAt: Millis;
-	readonly end: (now: Millis) => void;
+	readonly complete: (now: Millis) => void;
 }
 
 interface Instance {
 	readonly view: FleetView;
 	readonly selector: TargetSelector;
-	readonly notes: OutcomeTracker;
+	readonly outcomeTracker: OutcomeTracker;
 	running: RunningRequest[];
 }
 
@@ -84,7 +84,7 @@
 	private readonly _instances: Instance[];
 	private _revision = 1;
 	/** Number of requests by bucket of 200 ms and by the region in which they ran. */
-	private readonly _ends: Map<string, number>[] = [];
+	private readonly _countsByBucket: Map<string, number>[] = [];
 	private readonly _records: TargetRecord[];
 	/** Number of requests in progress, by target id. */
 	private readonly _loads = new Map<string, number>();
@@ -159,7 +159,7 @@
 		const shifts = { maxMovedFraction: MAX_MOVED_FRACTION, windowMs: WINDOW_MS };
 		const share = new PaceShare(place.name, () => 0);
 		const selector = new TargetSelector(view, place, REGIONS, shifts, share, new TargetLimitTable(view, share));
-		return { view, selector, notes: new OutcomeTracker(), running: [] };
+		return { view, selector, outcomeTracker: new OutcomeTracker(), running: [] };
 	}
 
 	private _syncAll(): void {
@@ -253,13 +253,13 @@
 			tried: new Set<string>(),
 			attempts: []
 		} as unknown as RequestContext;
-		this._try(instance, request);
+		this._attempt(instance, request);
 	}
 
-	private _try(instance: Instance, request: RequestContext): void {
+	private _attempt(instance: Instance, request: RequestContext): void {
 		const chosen = instance.selector.choose(request, this.now);
 		if (!chosen) {
-			this._countEnd(REFUSED);
+			this._countRequest(REFUSED);
 			return;
 		}
 		const { known, state } = chosen;
@@ -267,57 +267,57 @@
 		request.tried.add(id);
 		state.inFlight++;
 		if (this.unreachable.has(id)) {
-			const end = (now: Millis): void => this._fail(instance, request, state, now);
-			instance.running.push({ endsAt: this.now + REFUSAL_MS, end });
+			const fail = (now: Millis): void => this._fail(instance, request, state, now);
+			instance.running.push({ endsAt: this.now + REFUSAL_MS, complete: fail });
 			return;
 		}
-		this._countEnd(known.region);
+		this._countRequest(known.region);
 		const load = (this._loads.get(id) ?? 0) + 1;
 		this._loads.set(id, load);
-		const tookMs = WORK_MS * Math.max(1, load / SLOTS);
-		const end = (now: Millis): void => {
+		const durationMs = WORK_MS * Math.max(1, load / SLOTS);
+		const complete = (now: Millis): void => {
 			const left = this._loads.get(id)! - 1;
 			this._loads.set(id, left);
 			const load = { running: Math.min(left, SLOTS), waiting: Math.max(0, left - SLOTS), slots: SLOTS };
-			instance.notes.recordLoad(state, load, now);
+			instance.outcomeTracker.recordLoad(state, load, now);
 			state.inFlight--;
-			const answer = { type: 'answer', status: 200, rawHeaders: [], endsWithConnection: false } as never;
-			instance.notes.recordOutcome(request, state, answer, tookMs, now);
+			const response = { type: 'answer', status: 200, rawHeaders: [], endsWithConnection: false } as never;
+			instance.outcomeTracker.recordOutcome(request, state, response, durationMs, now);
 		};
-		instance.running.push({ endsAt: this.now + tookMs, end });
+		instance.running.push({ endsAt: this.now + durationMs, complete });
 	}
 
 	/** Handles a failed connection: retries with another target, up to the maximum number of attempts. */
 	private _fail(instance: Instance, request: RequestContext, state: TargetState, now: Millis): void {
 		state.inFlight--;
 		const outcome = { type: 'not-run', hasArrived: false, cause: NotRunCause.NoConnection } as const;
-		instance.notes.recordOutcome(request, state, outcome, REFUSAL_MS, now);
+		instance.outcomeTracker.recordOutcome(request, state, outcome, REFUSAL_MS, now);
 		if (request.tried.size < MAX_ATTEMPTS) {
-			this._try(instance, request);
+			this._attempt(instance, request);
 		} else {
-			this._countEnd(REFUSED);
+			this._countRequest(REFUSED);
 		}
 	}
 
 	private _completeRequests(instance: Instance): void {
 		const ended = instance.running.filter(request => request.endsAt <= this.now);
 		instance.running = instance.running.filter(request => request.endsAt > this.now);
-		ended.forEach(request => request.end(this.now));
+		ended.forEach(request => request.complete(this.now));
 	}
 
 	private _bucketNow(): number {
 		return Math.floor(this.now / 200);
 	}
 
-	private _countEnd(region: string): void {
-		const counts = (this._ends[this._bucketNow()] ??= new Map<string, number>());
+	private _countRequest(region: string): void {
+		const counts = (this._countsByBucket[this._bucketNow()] ??= new Map<string, number>());
 		counts.set(region, (counts.get(region) ?? 0) + 1);
 	}
 
 	private _count(from: number, to: number): Map<string, number> {
 		const sums = new Map<string, number>();
 		for (let bucket = from; bucket < to; bucket++) {
-			this._ends[bucket]?.forEach((count, region) => sums.set(region, (sums.get(region) ?? 0) + count));
+			this._countsByBucket[bucket]?.forEach((count, region) => sums.set(region, (sums.get(region) ?? 0) + count));
 		}
 		return sums;
 	}
--- a/src/plugins/forwarding/test/targetExchange.test.ts
+++ b/src/plugins/forwarding/test/targetExchange.test.ts
@@ -42,7 +42,7 @@
 	override createConnection(): Duplex {
 		const connection = new Duplex({
 			read: () => undefined,
-			write: (_piece, _encoding, done) => {
+			write: (_chunk, _encoding, done) => {
 				done();
 				setImmediate(() => this._play(connection));
 			}
@@ -145,7 +145,7 @@
 	outcome.remainingBody.destroy();
 });
 
-test('a target that refuses a request counts as full, unless the load that it reports leaves room', async () => {
+test('a target that refuses a request counts as full, unless it reports free slots and no queue', async () => {
 	const causeAt = async (load: string): Promise<unknown> => {
 		const head = `HTTP/1.1 503 Service Unavailable\r\nRequest-Id: a\r\nNot-Run: 1\r\n${load}Content-Length: 0\r\n\r\n`;
 		const outcome = await attempt(connection => connection.push(head));
@@ -158,19 +158,19 @@
 });
 
 test('what a target reports in response headers is applied even if the body is truncated', async () => {
-	const answers = [
+	const responses = [
 		'HTTP/1.1 503 Service Unavailable\r\nRequest-Id: a\r\nNot-Run: 1\r\nRest: 3\r\nContent-Length: 9\r\n\r\nbro',
 		'HTTP/1.1 503 Service Unavailable\r\nRequest-Id: a\r\nRest: 3\r\nContent-Length: 9\r\n\r\nbro',
 		'HTTP/1.1 200 OK\r\nRequest-Id: a\r\nLeaving: 1\r\nContent-Length: 9\r\n\r\nbro'
 	];
-	for (const answer of answers) {
+	for (const response of responses) {
 		reports.length = 0;
 		await attempt(connection => {
-			connection.push(answer);
+			connection.push(response);
 			setTimeout(() => connection.destroy(resetError()), 5);
 		});
 		assert.deepEqual(
-			reports.map(({ backoffMs: restMs, isLeaving }) => restMs === 3000 || isLeaving),
+			reports.map(({ backoffMs, isLeaving }) => backoffMs === 3000 || isLeaving),
 			[true]
 		);
 	}
--- a/src/plugins/limits/test/creditHolder.test.ts
+++ b/src/plugins/limits/test/creditHolder.test.ts
@@ -33,9 +33,9 @@
 		LOG,
 		{
 			detectSuspension: () => {
-				const { wasSuspended: hasLeapt } = this;
+				const { wasSuspended } = this;
 				this.wasSuspended = false;
-				return hasLeapt;
+				return wasSuspended;
 			}
 		}
 	);
--- a/src/plugins/limits/test/teamLimits.test.ts
+++ b/src/plugins/limits/test/teamLimits.test.ts
@@ -39,7 +39,7 @@
 				this.calledAddresses.push(address);
 				const response = responseOf(address);
 				if (!response) {
-					throw new Error('no answer');
+					throw new Error('no response');
 				}
 				return response;
 			}
