--- a/src/plugins/fleet/common/requestedWork.ts
+++ b/src/plugins/fleet/common/requestedWork.ts
@@ -97,8 +97,8 @@
 		for (const target of serving) {
 			const maxSlots =
 				target.slots * Math.max(DESIRED_UTILIZATION, MAX_RATIO_TO_MEAN * meanUtilizations.get(groupOf(target))!);
-			const wanted = Math.min(1, maxSlots / Math.max(this.slotsNeeded(target.id, now), Number.EPSILON));
-			const keptPart = withHysteresis(previous.get(target.id) ?? 1, wanted);
+			const desired = Math.min(1, maxSlots / Math.max(this.slotsNeeded(target.id, now), Number.EPSILON));
+			const keptPart = withHysteresis(previous.get(target.id) ?? 1, desired);
 			if (keptPart < 1) {
 				this._keptParts.set(target.id, keptPart);
 			}
@@ -144,9 +144,9 @@
 	}
 }
 
-/** Returns the wanted fraction if it differs enough from the current one, so that objects do not move back and forth. */
-function withHysteresis(current: number, wanted: number): number {
+/** Returns the desired fraction if it differs enough from the current one, so that objects do not move back and forth. */
+function withHysteresis(current: number, desired: number): number {
 	const isSignificant =
-		wanted < current - MIN_DECREASE || wanted > current + MIN_INCREASE || (wanted >= 1 && current > 0.8);
-	return isSignificant ? wanted : current;
+		desired < current - MIN_DECREASE || desired > current + MIN_INCREASE || (desired >= 1 && current > 0.8);
+	return isSignificant ? desired : current;
 }
--- a/src/plugins/fleet/node/fleetControlTask.ts
+++ b/src/plugins/fleet/node/fleetControlTask.ts
@@ -65,7 +65,7 @@
 		{ entryTimeoutMs: ENTRY_TIMEOUT_MS, heartbeatTimeoutMs: HEARTBEAT_TIMEOUT_MS },
 		this._startedAt
 	);
-	private readonly _offeredLoad = new RequestedWork();
+	private readonly _requestedWork = new RequestedWork();
 	/** Targets that are assigned only part of their objects, as computed at the last exchange. */
 	private _crowdedTargets: readonly CrowdedTarget[] = [];
 	private _crowdedLoggedAt: Millis = Number.NEGATIVE_INFINITY;
@@ -117,7 +117,7 @@
 			const now = systemClock.now();
 			this._lastExchangeAt.set(request.from, now);
 			this._liveness.merge(request, now);
-			this._offeredLoad.merge(request.needs, now);
+			this._requestedWork.merge(request.needs, now);
 			return { received: true as const };
 		});
 	}
@@ -230,7 +230,7 @@
 	private async _sync(request: SyncRequest): Promise<SyncResponse> {
 		const arrivedAt = systemClock.now();
 		this._liveness.recordEntry(request.entry, arrivedAt);
-		this._offeredLoad.addReported(request.needs, arrivedAt);
+		this._requestedWork.addReported(request.needs, arrivedAt);
 		this._limitManager.handleReportedLimits(request.limits ?? []);
 		const isBehind =
 			request.entry.revision !== this._state.revision ||
@@ -307,9 +307,9 @@
 		}
 		this._limitManager.updateSenders(this._completeness.completeSince, now);
 		const { members, id } = this._agreement.status();
-		const update = { from: id, ...this._liveness.takeUnsent(now), needs: this._offeredLoad.takeUnsent() };
+		const update = { from: id, ...this._liveness.takeUnsent(now), needs: this._requestedWork.takeUnsent() };
 		this._updateCrowdedTargets(
-			this._offeredLoad.findCrowded(this._state.targets, hall => this._regionByHall.get(hall) ?? '', now),
+			this._requestedWork.findCrowded(this._state.targets, hall => this._regionByHall.get(hall) ?? '', now),
 			now
 		);
 		for (const member of members) {
--- a/src/plugins/fleet/node/fleetSessionTask.ts
+++ b/src/plugins/fleet/node/fleetSessionTask.ts
@@ -61,7 +61,7 @@
 	private _sequence = 0;
 	private _isReady = false;
 	private _demand: Readonly<Record<string, number>> = {};
-	private _offeredLoad = new Map<string, number>();
+	private _requestedWork = new Map<string, number>();
 	private _limits: readonly ReportedLimit[] = [];
 	private _isLimitSyncScheduled = false;
 	private readonly _viewAge = new ViewAge();
@@ -133,15 +133,17 @@
 
 	addRequestedWork(workByTarget: WorkByTarget): void {
 		for (const [id, work] of Object.entries(workByTarget)) {
-			this._offeredLoad.set(id, (this._offeredLoad.get(id) ?? 0) + work);
+			this._requestedWork.set(id, (this._requestedWork.get(id) ?? 0) + work);
 		}
 	}
 
-	/** Returns and resets the accumulated load. Load of a failed call is not sent again, since control only averages the recent load. */
-	private _takeOfferedLoad(): WorkByTarget {
-		const load = Object.fromEntries([...this._offeredLoad].map(([id, work]) => [id, Math.round(work * 100) / 100]));
-		this._offeredLoad = new Map();
-		return load;
+	/** Returns and resets the accumulated work. Work of a failed call is not sent again, since control only averages recent work. */
+	private _takeRequestedWork(): WorkByTarget {
+		const workByTarget = Object.fromEntries(
+			[...this._requestedWork].map(([id, work]) => [id, Math.round(work * 100) / 100])
+		);
+		this._requestedWork = new Map();
+		return workByTarget;
 	}
 
 	private async _syncLoop(): Promise<void> {
@@ -215,7 +217,7 @@
 				revision: this.view.revision,
 				demand: this._demand
 			},
-			needs: this._takeOfferedLoad(),
+			needs: this._takeRequestedWork(),
 			limits: this._limits,
 			quarantineRevision: this.view.quarantine.revision,
 			waitMs
--- a/src/plugins/fleet/node/quarantineManager.ts
+++ b/src/plugins/fleet/node/quarantineManager.ts
@@ -38,7 +38,7 @@
 			await this._handleReport(report, isForwarded);
 			return { received: true as const };
 		});
-		_state.onDidChange(known => this._logChanges(known));
+		_state.onDidChange(snapshot => this._logChanges(snapshot));
 	}
 
 	/**
--- a/src/plugins/fleet/node/targetLimitManager.ts
+++ b/src/plugins/fleet/node/targetLimitManager.ts
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Assigns senders to limited targets that have none, and replaces lapsed senders; called several times a second.
+	 * Assigns senders to limited targets that have none, and replaces senders without recent contact; called several times a second.
 	 * @param completeSince since when this instance has received the liveness of all entry instances; undefined if it does not
 	 */
 	updateSenders(completeSince: Millis | undefined, now: Millis): void {
--- a/src/plugins/forwarding/common/hopByHopHeaders.ts
+++ b/src/plugins/forwarding/common/hopByHopHeaders.ts
@@ -27,13 +27,13 @@
 
 /** Header names listed in the `Connection` headers, in lower case. */
 function connectionOptions(raw: RawHeaders): Set<string> {
-	const named = new Set<string>();
+	const names = new Set<string>();
 	forEachHeader(raw, (lower, _name, value) => {
 		if (lower === 'connection') {
-			value.split(',').forEach(part => named.add(part.trim().toLowerCase()));
+			value.split(',').forEach(part => names.add(part.trim().toLowerCase()));
 		}
 	});
-	return named;
+	return names;
 }
 
 /**
--- a/src/plugins/forwarding/common/targets/targetRefusal.ts
+++ b/src/plugins/forwarding/common/targets/targetRefusal.ts
@@ -26,6 +26,6 @@
 
 /** Whether a refused request may be retried at the same target. */
 export function mayRetrySameTarget(cause: NotRunCause, target: string, attempts: readonly AttemptTrace[]): boolean {
-	const tries = attempts.filter(attempt => attempt.target === target).length;
-	return cause === NotRunCause.Shed && tries < MAX_ATTEMPTS_PER_TARGET;
+	const attemptCount = attempts.filter(attempt => attempt.target === target).length;
+	return cause === NotRunCause.Shed && attemptCount < MAX_ATTEMPTS_PER_TARGET;
 }
--- a/src/plugins/forwarding/node/attemptSender.ts
+++ b/src/plugins/forwarding/node/attemptSender.ts
@@ -174,7 +174,7 @@
 		}
 	}
 
-	/** Requests already in flight when a target first names a limit hold no permit, so those not yet written are cancelled. */
+	/** Requests already in flight when a target first reports a limit hold no permit, so those not yet written are cancelled. */
 	private _onLimitChange({ record, change }: TargetLimitEvent): void {
 		if (change === LimitChange.Named) {
 			this._cancelUnwrittenTo(record, NotRunCause.RateLimited);
--- a/src/plugins/forwarding/node/callerExchange.ts
+++ b/src/plugins/forwarding/node/callerExchange.ts
@@ -31,7 +31,7 @@
 export class CallerExchange {
 	readonly arrivedAt = systemClock.now();
 	readonly requestId: string;
-	/** How long the caller waits from `arrivedAt`, by its request header; infinite where it names no time. */
+	/** How long the caller waits from `arrivedAt`, by its request header; infinite if it gives none. */
 	readonly remainingMs: Millis;
 	readonly objectKey: string | undefined;
 	/** Digest of the API key that the caller sent; undefined for a missing or empty one. */
--- a/src/plugins/forwarding/node/frontListener.ts
+++ b/src/plugins/forwarding/node/frontListener.ts
@@ -29,7 +29,7 @@
 const READINESS_POLL_MS = 50;
 /** Not ready while the fleet view is older than this. */
 const MAX_VIEW_AGE_MS = 10000;
-/** How long a draining instance keeps accepting connections: callers may still use an earlier look-up that names it. */
+/** How long a draining instance keeps accepting connections: callers may still use an earlier look-up that returned it. */
 const ACCEPT_DURING_DRAIN_MS = 3000;
 const DRAIN_POLL_MS = 25;
 /** Part of the grace period reserved for the exit of the process. */
@@ -75,7 +75,7 @@
 		this._register(toDisposable(() => this._server.closeAllConnections()));
 	}
 
-	/** Opens the listeners for callers and for readiness checks; look-ups name this instance once it is ready. */
+	/** Opens the listeners for callers and for readiness checks; look-ups return this instance once it is ready. */
 	async start(): Promise<void> {
 		const [host, port] = this._settings.callerAddress.split(':');
 		await new Promise<void>((resolve, reject) => {
--- a/src/plugins/forwarding/node/retryPolicy.ts
+++ b/src/plugins/forwarding/node/retryPolicy.ts
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * The response where no target can take the request now. Where all targets are in backoff or at their rate limits, Retry-After names when
+	 * The response where no target can take the request now. Where all targets are in backoff or at their rate limits, Retry-After states when
 	 * capacity returns, at most the caller's deadline; callers are spread out where capacity returns one permit at a time.
 	 */
 	noTargetResponse(context: RequestContext): LocalResponse {
--- a/src/plugins/forwarding/node/targets/backoffMonitor.ts
+++ b/src/plugins/forwarding/node/targets/backoffMonitor.ts
@@ -106,9 +106,9 @@
 		});
 	}
 
-	private _logSampled(message: string, what: Readonly<Record<string, unknown>>, now: Millis): void {
+	private _logSampled(message: string, fields: Readonly<Record<string, unknown>>, now: Millis): void {
 		if (this._sampler.admits(false, now)) {
-			this._log.info(message, { task: 'forwarding', ...what });
+			this._log.info(message, { task: 'forwarding', ...fields });
 		}
 	}
 }
--- a/src/plugins/forwarding/node/targets/limitMonitor.ts
+++ b/src/plugins/forwarding/node/targets/limitMonitor.ts
@@ -83,9 +83,9 @@
 
 	/**
 	 * Counts a request that was sent to a rate-limited target, when it has ended.
-	 * @param isFirstTry whether it was the first attempt of its request
+	 * @param isFirstAttempt whether it was the first attempt of its request
 	 */
-	recordSent(record: TargetRecord, { chosenAt, writtenAt }: SentRequest, isFirstTry: boolean): void {
+	recordSent(record: TargetRecord, { chosenAt, writtenAt }: SentRequest, isFirstAttempt: boolean): void {
 		const now = systemClock.now();
 		const perSecond = this._limits.perSecond(record, now);
 		if (writtenAt === undefined || perSecond === undefined) {
@@ -93,18 +93,23 @@
 		}
 		const { id, service } = record;
 		const isKnown = this._limits.knownSince(record) <= chosenAt;
-		const labels = { service, target: id, try: isFirstTry ? 'first' : 'other', chosen: isKnown ? 'after' : 'before' };
+		const labels = {
+			service,
+			target: id,
+			try: isFirstAttempt ? 'first' : 'other',
+			chosen: isKnown ? 'after' : 'before'
+		};
 		this._sentCounter.inc(labels);
 		const count = this._sentCounts.get(id) ?? { since: now, firstTries: 0, otherTries: 0, beforeWord: 0 };
 		this._sentCounts.set(id, count);
-		count[isFirstTry ? 'firstTries' : 'otherTries']++;
+		count[isFirstAttempt ? 'firstTries' : 'otherTries']++;
 		count.beforeWord += isKnown ? 0 : 1;
 		if (now - count.since >= LOG_INTERVAL_MS) {
 			this._sentCounts.delete(id);
 			const { since, ...sent } = count;
-			const what = { target: id, service, perSecond, ...sent, inMs: Math.round(now - since) };
+			const fields = { target: id, service, perSecond, ...sent, inMs: Math.round(now - since) };
 			if (this._sampler.admits(false, now)) {
-				this._log.info('requests sent to rate-limited target', { task: 'forwarding', ...what });
+				this._log.info('requests sent to rate-limited target', { task: 'forwarding', ...fields });
 			}
 		}
 	}
--- a/src/plugins/limits/common/creditLedger.ts
+++ b/src/plugins/limits/common/creditLedger.ts
@@ -175,9 +175,10 @@
 	private _newCeiling(team: string, usage: number, maxRequests: number): number | undefined {
 		const current = this._ceiling(team, maxRequests);
 		const needed = RAISE_FACTOR * (usage + (this._shortfalls.get(team) ?? 0)) + RAISE_MARGIN;
-		const wanted = Math.min(maxRequests, Math.ceil(Math.max(needed, INITIAL_CEILING_FRACTION * maxRequests)));
-		const shouldRaise = wanted > current && (this._shortfalls.has(team) || usage > RAISE_THRESHOLD_FRACTION * current);
-		return shouldRaise || wanted * LOWER_THRESHOLD_FACTOR < current ? wanted : undefined;
+		const newCeiling = Math.min(maxRequests, Math.ceil(Math.max(needed, INITIAL_CEILING_FRACTION * maxRequests)));
+		const shouldRaise =
+			newCeiling > current && (this._shortfalls.has(team) || usage > RAISE_THRESHOLD_FRACTION * current);
+		return shouldRaise || newCeiling * LOWER_THRESHOLD_FACTOR < current ? newCeiling : undefined;
 	}
 
 	private _grant(holder: string, { team, needed, ahead }: CreditReport, now: Millis): CreditGrant {
