--- a/src/base/test/suspensionDetector.test.ts
+++ b/src/base/test/suspensionDetector.test.ts
@@ -30,20 +30,20 @@
 
 test('a jump of the wall clock alone is reported once', () => {
 	const clock = new ManualClock();
-	const watch = new SuspensionDetector(clock);
+	const detector = new SuspensionDetector(clock);
 	clock.advance(10000, 10040);
-	assert.equal(watch.detectSuspension(), false);
+	assert.equal(detector.detectSuspension(), false);
 	clock.advance(20, 3020);
-	assert.equal(watch.detectSuspension(), true);
+	assert.equal(detector.detectSuspension(), true);
 	clock.advance(1000);
-	assert.equal(watch.detectSuspension(), false);
+	assert.equal(detector.detectSuspension(), false);
 });
 
 test('setting the wall clock back is not reported, setting it forward again is', () => {
 	const clock = new ManualClock();
-	const watch = new SuspensionDetector(clock);
+	const detector = new SuspensionDetector(clock);
 	clock.advance(1000, -1000);
-	assert.equal(watch.detectSuspension(), false);
+	assert.equal(detector.detectSuspension(), false);
 	clock.advance(1000, 3000);
-	assert.equal(watch.detectSuspension(), true);
+	assert.equal(detector.detectSuspension(), true);
 });
--- a/src/plugins/agreement/test/agreementModel.ts
+++ b/src/plugins/agreement/test/agreementModel.ts
@@ -340,8 +340,8 @@
 
 	private _checkCommitted(node: ModelNode, entry: LogEntry): void {
 		const text = `${entry.term}:${entry.kind === EntryKind.Members ? 'members' : String(entry.command)}`;
-		const known = this._committed.get(entry.index);
-		assert.equal(known ?? text, text, `${node.id} commits another entry at ${entry.index}`);
+		const expected = this._committed.get(entry.index);
+		assert.equal(expected ?? text, text, `${node.id} commits another entry at ${entry.index}`);
 		this._committed.set(entry.index, text);
 		this._maxCommittedIndex = Math.max(this._maxCommittedIndex, entry.index);
 	}
--- a/src/plugins/callers/node/callerServer.ts
+++ b/src/plugins/callers/node/callerServer.ts
@@ -76,7 +76,7 @@
 		@ISettingsService settings: ISettingsService,
 		@IMetricsService metrics: IMetricsService,
 		@ILogService private readonly _log: ILogService,
-		@IPeerTransport private readonly _wire: IPeerTransport,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@IEntryConfiguration private readonly _configuration: IEntryConfiguration,
 		@ISteering private readonly _steering: ISteering,
 		@IDispatch private readonly _dispatch: IDispatch,
@@ -120,7 +120,7 @@
 	}
 
 	async start(): Promise<void> {
-		const peerAddress = await this._wire.listen();
+		const peerAddress = await this._transport.listen();
 		const address = await this._listener.listen();
 		const { name, hall, region } = this._instance;
 		await this._configuration.start({
@@ -162,15 +162,15 @@
 			sendRequestError(response, requestError, this._newRequestId());
 			return;
 		}
-		const lookUpAnswer = this._steering.lookUp(service!, group!, client);
-		if (!lookUpAnswer) {
+		const lookupResult = this._steering.lookUp(service!, group!, client);
+		if (!lookupResult) {
 			sendRequestError(response, notReadyError(), this._newRequestId());
 			return;
 		}
 		this._lookupsTotal.inc();
-		const body = JSON.stringify(lookUpAnswer);
+		const body = JSON.stringify(lookupResult);
 		const etag = `"${createHash('sha1').update(body).digest('hex').slice(0, ETAG_LENGTH)}"`;
-		response.setHeader('Cache-Control', `max-age=${lookUpAnswer.ttlSeconds}`);
+		response.setHeader('Cache-Control', `max-age=${lookupResult.ttlSeconds}`);
 		response.setHeader('ETag', etag);
 		if (request.headers['if-none-match'] === etag) {
 			response.statusCode = 304;
--- a/src/plugins/configuration/node/configurationPublisher.ts
+++ b/src/plugins/configuration/node/configurationPublisher.ts
@@ -51,14 +51,14 @@
 	};
 
 	constructor(
-		@IPeerTransport wire: IPeerTransport,
+		@IPeerTransport transport: IPeerTransport,
 		@IAgreement private readonly _agreement: IAgreement,
 		@IControlStateService private readonly _control: IControlStateService,
 		@IEntryMembership private readonly _membership: IEntryMembership
 	) {
 		super();
-		wire.handleStream(sessionMethod, stream => this._onSession(stream));
-		wire.handleUnary(revisionMethod, async () => this._revision());
+		transport.handleStream(sessionMethod, stream => this._onSession(stream));
+		transport.handleUnary(revisionMethod, async () => this._revision());
 		this._register(this._control.state.onDidChange(() => this._sendUpdateToAll()));
 		this._register(this._membership.onDidChangeDirectory(() => this._sendUpdateToAll()));
 		const timer = setInterval(() => this._sendUpdateToAll(), UPDATE_INTERVAL_MS);
--- a/src/plugins/configuration/node/entryConfigurationTask.ts
+++ b/src/plugins/configuration/node/entryConfigurationTask.ts
@@ -78,7 +78,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerTransport private readonly _wire: IPeerTransport,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
@@ -88,7 +88,7 @@
 		const otherHalls = controls.filter(control => control.hall !== hall);
 		this._controls = [...sameHall, ...shuffle(otherHalls)];
 		this._siblings = settings.namedSections<SiblingSettings>('sibling');
-		this._wire.handleUnary(hallSnapshotMethod, async () => this._hallSnapshot());
+		this._transport.handleUnary(hallSnapshotMethod, async () => this._hallSnapshot());
 	}
 
 	get table(): ConfigurationTable | undefined {
@@ -163,7 +163,7 @@
 		const control = this._controls[this._nextControlIndex % this._controls.length]!;
 		this._nextControlIndex++;
 		this._sessionDirectory = undefined;
-		const stream = this._wire.openStream(control.address, sessionMethod);
+		const stream = this._transport.openStream(control.address, sessionMethod);
 		this._stream = stream;
 		this._sessionOpenedAt = systemClock.now();
 		this._lastUpdateAt = this._sessionOpenedAt;
@@ -266,12 +266,12 @@
 		while (this._minRevision === undefined) {
 			const request = { instance: this._identity.instance };
 			const calls = this._controls.map(control =>
-				this._wire.call(control.address, revisionMethod, request, CALL_TIMEOUT_MS)
+				this._transport.call(control.address, revisionMethod, request, CALL_TIMEOUT_MS)
 			);
-			const answers = await Promise.allSettled(calls);
-			for (const answer of answers) {
-				if (answer.status === 'fulfilled' && answer.value.isAuthoritative) {
-					this._minRevision = Math.max(this._minRevision ?? 0, answer.value.revision);
+			const results = await Promise.allSettled(calls);
+			for (const result of results) {
+				if (result.status === 'fulfilled' && result.value.isAuthoritative) {
+					this._minRevision = Math.max(this._minRevision ?? 0, result.value.revision);
 				}
 			}
 			if (this._minRevision === undefined) {
@@ -284,11 +284,11 @@
 	private async _fetchHallSnapshots(): Promise<void> {
 		const request = { instance: this._identity.instance };
 		const calls = [...this._siblings.values()].map(sibling =>
-			this._wire.call(sibling.address, hallSnapshotMethod, request, CALL_TIMEOUT_MS)
+			this._transport.call(sibling.address, hallSnapshotMethod, request, CALL_TIMEOUT_MS)
 		);
-		for (const answer of await Promise.allSettled(calls)) {
-			if (answer.status === 'fulfilled') {
-				this._applySnapshot(answer.value);
+		for (const result of await Promise.allSettled(calls)) {
+			if (result.status === 'fulfilled') {
+				this._applySnapshot(result.value);
 			}
 		}
 	}
--- a/src/plugins/dispatch/node/dispatchService.ts
+++ b/src/plugins/dispatch/node/dispatchService.ts
@@ -116,7 +116,7 @@
 		@ISettingsService settings: ISettingsService,
 		@IEntryConfiguration private readonly _configuration: IEntryConfiguration,
 		@ITargetOwnership private readonly _ownership: ITargetOwnership,
-		@IPeerTransport private readonly _wire: IPeerTransport,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@ILogService log: ILogService
 	) {
 		super();
@@ -146,7 +146,9 @@
 		this._register(this._configuration.onDidChange(() => this._refresh()));
 		this._register(this._ownership.onDidChange(() => this._refresh()));
 		this._configuration.addReportPart(() => this._reportPart());
-		serveSpilledRequests(this._wire, (request, sink, mayQueue) => this._handleSpilledRequest(request, sink, mayQueue));
+		serveSpilledRequests(this._transport, (request, sink, mayQueue) =>
+			this._handleSpilledRequest(request, sink, mayQueue)
+		);
 		const timer = setInterval(() => this._refresh(), REFRESH_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
@@ -227,7 +229,7 @@
 		const trackedSink = new StartTrackingSink(sink);
 		for (const { identity } of candidates) {
 			try {
-				const target = await spillRequest(this._wire, identity.peerAddress, request, trackedSink, mayQueue);
+				const target = await spillRequest(this._transport, identity.peerAddress, request, trackedSink, mayQueue);
 				return { target, status: 0, totalMs: systemClock.now() - arrivedAt, queuedMs: 0 };
 			} catch (error) {
 				const mayHaveRun = error instanceof RequestError && error.verdict === 'may-have-run';
--- a/src/plugins/dispatch/node/serviceDispatcher.ts
+++ b/src/plugins/dispatch/node/serviceDispatcher.ts
@@ -64,7 +64,7 @@
 	private readonly _usageByGroup = new Map<string, GroupUsage>();
 	private readonly _chooser = new TargetChooser();
 	private _hasReceivedList = false;
-	private _answers = 0;
+	private _responses = 0;
 	private _failures = 0;
 
 	constructor(
@@ -150,8 +150,8 @@
 
 	/** Responses and failures since the last call; failures count as responses too. */
 	takeCounts(): { answers: number; failures: number } {
-		const counts = { answers: this._answers, failures: this._failures };
-		this._answers = 0;
+		const counts = { answers: this._responses, failures: this._failures };
+		this._responses = 0;
 		this._failures = 0;
 		return counts;
 	}
@@ -301,13 +301,13 @@
 
 	private _recordOutcome(target: TargetSlots, outcome: AttemptOutcome, durationMs: Millis): void {
 		if (outcome.kind === 'answered') {
-			this._answers++;
+			this._responses++;
 			this._failures += outcome.status >= 500 ? 1 : 0;
 			this._admission.recordServiceTime(durationMs);
 			target.recordResponse(outcome.firstByteMs);
 		}
 		if (outcome.kind === 'failed' || outcome.kind === 'broken') {
-			this._answers++;
+			this._responses++;
 			this._failures++;
 			target.recordFailure(systemClock.now());
 		}
--- a/src/plugins/dispatch/node/spillTransport.ts
+++ b/src/plugins/dispatch/node/spillTransport.ts
@@ -22,13 +22,13 @@
  * @throws RequestError if the instance refused the request or the connection to it failed
  */
 export function spillRequest(
-	wire: IPeerTransport,
+	transport: IPeerTransport,
 	address: string,
 	request: DispatchRequest,
 	sink: ResponseSink,
 	mayQueue: boolean
 ): Promise<string> {
-	const stream = wire.openStream(address, spillMethod);
+	const stream = transport.openStream(address, spillMethod);
 	return new Promise<string>((resolve, reject) => {
 		let isStarted = false;
 		const onAbort = (): void => stream.cancel();
@@ -70,8 +70,8 @@
 }
 
 /** Handles requests that other instances pass to this one. */
-export function serveSpilledRequests(wire: IPeerTransport, handle: SpillHandler): void {
-	wire.handleStream(spillMethod, stream => {
+export function serveSpilledRequests(transport: IPeerTransport, handle: SpillHandler): void {
+	transport.handleStream(spillMethod, stream => {
 		stream.once('data', (message: SpillRequest) => void handleSpillRequest(stream, message, handle));
 	});
 }
--- a/src/plugins/dispatch/test/dispatchService.test.ts
+++ b/src/plugins/dispatch/test/dispatchService.test.ts
@@ -104,7 +104,7 @@
 		addReportPart: () => undefined
 	} as unknown as IEntryConfiguration;
 	const calledAddresses: string[] = [];
-	const wire = {
+	const transport = {
 		handleStream: () => undefined,
 		openStream: (address: string) => {
 			calledAddresses.push(address);
@@ -114,7 +114,7 @@
 	const onDidChange = new Emitter<void>();
 	const instance = { calledAddresses, ownsTarget: true, changeOwnership: () => onDidChange.fire() };
 	const ownership = { owns: () => instance.ownsTarget, onDidChange: onDidChange.event };
-	const service = new DispatchService(settings, configuration, ownership, wire, NO_LOG);
+	const service = new DispatchService(settings, configuration, ownership, transport, NO_LOG);
 	await service.start();
 	return Object.assign(instance, { service });
 }
--- a/src/plugins/membership/common/entryRegistry.ts
+++ b/src/plugins/membership/common/entryRegistry.ts
@@ -20,7 +20,7 @@
 	private readonly _entries = new Map<string, RegisteredEntry>();
 
 	/**
-	 * @param _timeoutMs an instance without a report for this long counts as silent
+	 * @param _timeoutMs an instance without a report for this long counts as overdue
 	 * @param _retentionMs an instance without a report for this long is removed
 	 */
 	constructor(
@@ -30,10 +30,10 @@
 
 	/** Records a report, unless a later one is recorded already. */
 	record(report: EntryReport, now: Millis): void {
-		const known = this._entries.get(report.identity.instance);
-		if (!known || now >= known.lastReportAt) {
+		const entry = this._entries.get(report.identity.instance);
+		if (!entry || now >= entry.lastReportAt) {
 			const directoryEntry =
-				known && isSameEntry(known.directoryEntry, report) ? known.directoryEntry : toDirectoryEntry(report);
+				entry && isSameEntry(entry.directoryEntry, report) ? entry.directoryEntry : toDirectoryEntry(report);
 			this._entries.set(report.identity.instance, { report, lastReportAt: now, directoryEntry });
 		}
 	}
@@ -50,8 +50,8 @@
 
 	/** Removes instances whose last report is older than the retention period. */
 	evictExpired(now: Millis): void {
-		for (const [instance, known] of this._entries) {
-			if (now - known.lastReportAt >= this._retentionMs) {
+		for (const [instance, entry] of this._entries) {
+			if (now - entry.lastReportAt >= this._retentionMs) {
 				this._entries.delete(instance);
 			}
 		}
@@ -59,7 +59,7 @@
 
 	/** The directory entries of the live instances, by name. */
 	directoryEntries(now: Millis): DirectoryEntry[] {
-		return this.live(now).map(known => known.directoryEntry);
+		return this.live(now).map(entry => entry.directoryEntry);
 	}
 
 	/** The loads of the live instances, by region. */
@@ -84,7 +84,7 @@
 	}
 
 	private _filterByAge(now: Millis, accept: (age: Millis) => boolean): RegisteredEntry[] {
-		const found = [...this._entries.values()].filter(known => accept(now - known.lastReportAt));
+		const found = [...this._entries.values()].filter(entry => accept(now - entry.lastReportAt));
 		return found.sort((a, b) => (a.report.identity.instance < b.report.identity.instance ? -1 : 1));
 	}
 }
--- a/src/plugins/membership/node/entryMembershipTask.ts
+++ b/src/plugins/membership/node/entryMembershipTask.ts
@@ -76,13 +76,13 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerTransport private readonly _wire: IPeerTransport,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@IAgreement private readonly _agreement: IAgreement
 	) {
 		super();
 		this._self = settings.section<InstanceSettings>('instance').name;
 		this._controls = settings.namedSections<ControlPeerSettings>('control');
-		this._wire.handleUnary(exchangeMethod, async request => this._handleExchange(request));
+		this._transport.handleUnary(exchangeMethod, async request => this._handleExchange(request));
 		const timer = setInterval(() => this._tick(), EXCHANGE_INTERVAL_MS);
 		this._register(toDisposable(() => clearInterval(timer)));
 	}
@@ -185,7 +185,7 @@
 		const sentAt = systemClock.now();
 		const request = { reports, term: this._directory?.term ?? 0, version: this._directory?.version ?? 0 };
 		try {
-			const response = await this._wire.call(peer.address, exchangeMethod, request, EXCHANGE_TIMEOUT_MS);
+			const response = await this._transport.call(peer.address, exchangeMethod, request, EXCHANGE_TIMEOUT_MS);
 			this._applyExchangeResponse(response, sentAt);
 		} catch {
 			reports.forEach(report => this._restorePending(report));
--- a/src/plugins/membership/test/entryMembershipTask.test.ts
+++ b/src/plugins/membership/test/entryMembershipTask.test.ts
@@ -55,7 +55,7 @@
 	const agreement = new FakeAgreement();
 	let markExchanged!: () => void;
 	const exchanged = new Promise<void>(resolve => (markExchanged = resolve));
-	const wire = {
+	const transport = {
 		handleUnary: () => undefined,
 		call: async () => {
 			setImmediate(markExchanged);
@@ -63,7 +63,7 @@
 			return { isLeader: true, directory: { term: 1, version: 1, entries }, loads: PREVIOUS_LOADS };
 		}
 	} as unknown as IPeerTransport;
-	const task = new EntryMembershipTask(SETTINGS, wire, agreement as unknown as IAgreement);
+	const task = new EntryMembershipTask(SETTINGS, transport, agreement as unknown as IAgreement);
 	t.after(() => task.dispose());
 	await exchanged;
 	const tookOver = new Promise<void>(resolve => {
--- a/src/plugins/once/node/atMostOnceDispatchService.ts
+++ b/src/plugins/once/node/atMostOnceDispatchService.ts
@@ -36,7 +36,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerTransport private readonly _wire: IPeerTransport,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@IDispatch private readonly _dispatch: IDispatch,
 		@ILogService private readonly _log: ILogService
 	) {
@@ -66,13 +66,13 @@
 	}
 
 	private async _claim(request: DispatchRequest): Promise<ClaimResult> {
-		const { orderKey: key, requestId } = request;
-		const message = { key: key!, digest: requestDigest(request), requestId };
+		const { orderKey, requestId } = request;
+		const message = { key: orderKey!, digest: requestDigest(request), requestId };
 		let mayBeClaimed = false;
 		for (let attempt = 0; attempt < MAX_CLAIM_ATTEMPTS; attempt++) {
 			const control = this._controls[this._controlIndex % this._controls.length]!;
 			try {
-				const result = await this._wire.call(control.address, claimMethod, message, CALL_TIMEOUT_MS);
+				const result = await this._transport.call(control.address, claimMethod, message, CALL_TIMEOUT_MS);
 				if (result.kind !== 'no-quorum') {
 					return result;
 				}
@@ -94,7 +94,7 @@
 		for (let attempt = 0; attempt < MAX_OUTCOME_ATTEMPTS; attempt++) {
 			const control = this._controls[this._controlIndex % this._controls.length]!;
 			try {
-				const response = await this._wire.call(control.address, outcomeMethod, message, CALL_TIMEOUT_MS);
+				const response = await this._transport.call(control.address, outcomeMethod, message, CALL_TIMEOUT_MS);
 				if (response.isRecorded) {
 					return;
 				}
--- a/src/plugins/ownership/node/hallOwnershipTask.ts
+++ b/src/plugins/ownership/node/hallOwnershipTask.ts
@@ -42,7 +42,7 @@
 
 	constructor(
 		@ISettingsService settings: ISettingsService,
-		@IPeerTransport private readonly _wire: IPeerTransport,
+		@IPeerTransport private readonly _transport: IPeerTransport,
 		@ILogService private readonly _log: ILogService
 	) {
 		super();
@@ -52,7 +52,7 @@
 		const controls = [...settings.namedSections<ControlPeerSettings>('control').values()];
 		this._controls = controls.sort((a, b) => Number(b.hall === hall) - Number(a.hall === hall));
 		this._lease = new OwnershipLease([...this._siblings.keys()]);
-		this._wire.handleUnary(promiseMethod, async request => this._handlePromiseRequest(request.instance));
+		this._transport.handleUnary(promiseMethod, async request => this._handlePromiseRequest(request.instance));
 	}
 
 	/** Starts the renewals and promise requests; an instance without siblings needs none. */
@@ -100,7 +100,7 @@
 		const request: RenewRequest = { instance: this._self, giveBack, takeOver: giveBack ? undefined : takeOver };
 		const control = this._controls[this._controlIndex % this._controls.length]!;
 		try {
-			const response = await this._wire.call(control.address, renewMethod, request, CALL_TIMEOUT_MS);
+			const response = await this._transport.call(control.address, renewMethod, request, CALL_TIMEOUT_MS);
 			if (response.isRenewed) {
 				this._lease.renew(now);
 			}
@@ -129,7 +129,7 @@
 	private async _requestPromise(sibling: string, address: string): Promise<void> {
 		const requestSentAt = systemClock.now();
 		try {
-			const response = await this._wire.call(address, promiseMethod, { instance: this._self }, CALL_TIMEOUT_MS);
+			const response = await this._transport.call(address, promiseMethod, { instance: this._self }, CALL_TIMEOUT_MS);
 			this._connectionRefusedBy.delete(sibling);
 			if (response.isPromised) {
 				this._lease.recordPromise(sibling, requestSentAt);
--- a/src/plugins/planning/common/measuredLoads.ts
+++ b/src/plugins/planning/common/measuredLoads.ts
@@ -30,12 +30,12 @@
 
 	/** @param now current time, on the same clock as the `lastReportAt` of the entries */
 	constructor(entries: readonly RegisteredEntry[], now: Millis) {
-		for (const { report, lastReportAt: heardAt } of entries) {
+		for (const { report, lastReportAt } of entries) {
 			const { region } = report.identity;
 			for (const capacity of report.capacity) {
 				const load = this._getOrAddLoad(region, capacity.service);
 				load.slots += capacity.slots;
-				load.measuredMsAgo = Math.max(load.measuredMsAgo, now - heardAt);
+				load.measuredMsAgo = Math.max(load.measuredMsAgo, now - lastReportAt);
 			}
 			for (const demand of report.demand) {
 				const load = this._getOrAddLoad(region, demand.service);
--- a/src/plugins/routes/common/teamIndex.ts
+++ b/src/plugins/routes/common/teamIndex.ts
@@ -37,7 +37,9 @@
 	 * @param digest digest of the caller's key
 	 */
 	findTeam(digest: string): Team | undefined {
-		const known = this._byDigest.get(digest);
-		return known && timingSafeEqual(known.digest, Buffer.from(digest, DIGEST_ENCODING)) ? known.team : undefined;
+		const candidate = this._byDigest.get(digest);
+		return candidate && timingSafeEqual(candidate.digest, Buffer.from(digest, DIGEST_ENCODING))
+			? candidate.team
+			: undefined;
 	}
 }
--- a/src/plugins/shifts/common/destinationHealth.ts
+++ b/src/plugins/shifts/common/destinationHealth.ts
@@ -15,7 +15,7 @@
 /** Fraction of failed responses above which a region receives no more traffic. */
 const MAX_FAILURE_RATIO = 0.1;
 /** Minimum number of responses for the failure ratio to be evaluated. */
-const MIN_ANSWERS = 10;
+const MIN_RESPONSES = 10;
 
 /**
  * Returns the reason why a stage must not begin now, or undefined if it may begin.
@@ -33,10 +33,10 @@
 		if (overutilized) {
 			return overutilized;
 		}
-		const answers = recentEntries.reduce((sum, entry) => sum + entry.report.answers, 0);
+		const responses = recentEntries.reduce((sum, entry) => sum + entry.report.answers, 0);
 		const failures = recentEntries.reduce((sum, entry) => sum + entry.report.failures, 0);
-		if (answers >= MIN_ANSWERS && failures / answers > MAX_FAILURE_RATIO) {
-			return `${failures} of ${answers} responses of targets in ${region} are failures`;
+		if (responses >= MIN_RESPONSES && failures / responses > MAX_FAILURE_RATIO) {
+			return `${failures} of ${responses} responses of targets in ${region} are failures`;
 		}
 	}
 	return undefined;
