--- a/test/bench/capacity.ts
+++ b/test/bench/capacity.ts
@@ -166,7 +166,7 @@
 		namedSections: <T>(): ReadonlyMap<string, T> => new Map(),
 		reload: () => []
 	};
-	const wire = new GrpcPeerTransport(settings);
+	const transport = new GrpcPeerTransport(settings);
 	const leader = await system.leader();
 	const today = new Date().toISOString().slice(0, 10);
 	const results = [];
@@ -177,7 +177,7 @@
 			for (let i = 0; performance.now() < endAt; i++) {
 				const id = `${atOnce}-${worker}-${i}`;
 				const request = { key: `${today}-${id}`, digest: 'd'.repeat(64), requestId: id };
-				await wire.call(leader.peerAddress, claimMethod, request, 5000);
+				await transport.call(leader.peerAddress, claimMethod, request, 5000);
 				completed++;
 			}
 		};
@@ -190,7 +190,7 @@
 			meanMs: roundTo2((seconds * 1000 * atOnce) / completed)
 		});
 	}
-	wire.dispose();
+	transport.dispose();
 	return results;
 }
 
--- a/test/bench/stubSubscribers.ts
+++ b/test/bench/stubSubscribers.ts
@@ -46,7 +46,7 @@
 	namedSections: <T>(): ReadonlyMap<string, T> => new Map(),
 	reload: () => []
 };
-const wire = new GrpcPeerTransport(settings);
+const transport = new GrpcPeerTransport(settings);
 
 let bytesDown = 0;
 let bytesUp = 0;
@@ -83,7 +83,7 @@
 
 function openSession(i: number): void {
 	let revision = 0;
-	const stream = wire.openStream(options.controls[i % options.controls.length]!, sessionMethod);
+	const stream = transport.openStream(options.controls[i % options.controls.length]!, sessionMethod);
 	const send = (): void => {
 		const message = { revision, report: createReport(i, revision) };
 		bytesUp += encode(message).byteLength;
--- a/test/faults/faultProxy.ts
+++ b/test/faults/faultProxy.ts
@@ -130,7 +130,7 @@
 	request.on('data', (chunk: Buffer) => chunks.push(chunk));
 	request.on('end', () => {
 		handleRequest(request.url!, Buffer.concat(chunks).toString()).then(
-			answer => response.end(JSON.stringify(answer)),
+			result => response.end(JSON.stringify(result)),
 			(error: Error) => response.writeHead(400).end(error.message)
 		);
 	});
--- a/test/faults/matrix.ts
+++ b/test/faults/matrix.ts
@@ -166,10 +166,10 @@
 		assert.ok(executedIds.length <= 1, `the order ran ${executedIds.length} times`);
 		for (const response of [firstResponse, retryResponse]) {
 			if (response?.verdict === 'not-run') {
-				assert.ok(!executedIds.includes(response.requestId), 'called not-run, but it ran');
+				assert.ok(!executedIds.includes(response.requestId), 'the verdict is not-run, but a target executed the order');
 			}
 			if (response?.verdict === 'ran') {
-				assert.equal(executedIds.length, 1, 'called ran, but no target ran it');
+				assert.equal(executedIds.length, 1, 'the verdict is ran, but no target executed the order');
 			}
 		}
 	}
--- a/test/integration/control.test.ts
+++ b/test/integration/control.test.ts
@@ -215,9 +215,9 @@
 	const outdated = await sendUntilFinal(`/v1/plans/${planId}/confirm`, { operator: 'ben', number: 2, digest }, [two!]);
 	const rejection = outdated.body as { code: string; changed: string[]; plan: PlanResponse };
 	assert.deepEqual([outdated.status, rejection.code, rejection.changed], [409, 'base-moved', ['group:default']]);
-	const fresh = { operator: 'ben', number: 3, digest: rejection.plan.digest };
-	const confirmedFresh = await sendUntilFinal(`/v1/plans/${rejection.plan.planId}/confirm`, fresh, [two!]);
-	assert.equal(confirmedFresh.status, 200);
-	const resent = await sendUntilFinal(`/v1/plans/${rejection.plan.planId}/confirm`, fresh, [one!]);
+	const newConfirmation = { operator: 'ben', number: 3, digest: rejection.plan.digest };
+	const newlyConfirmed = await sendUntilFinal(`/v1/plans/${rejection.plan.planId}/confirm`, newConfirmation, [two!]);
+	assert.equal(newlyConfirmed.status, 200);
+	const resent = await sendUntilFinal(`/v1/plans/${rejection.plan.planId}/confirm`, newConfirmation, [one!]);
 	assert.equal(resent.status, 200);
 });
--- a/test/integration/orders.test.ts
+++ b/test/integration/orders.test.ts
@@ -90,7 +90,7 @@
 test('an order is not executed again after the claiming entry instance is killed during its run', async () => {
 	const key = `${today}-killed`;
 	let earlyResponse: OrderResponse | undefined;
-	const lost = sendOrder(0, key, '/s/grower/kill?workMs=400').then(
+	const firstAttempt = sendOrder(0, key, '/s/grower/kill?workMs=400').then(
 		response => (earlyResponse = response),
 		() => undefined
 	);
@@ -99,7 +99,7 @@
 		await new Promise(resolve => setTimeout(resolve, 10));
 	}
 	await system.entries[0]!.process.kill();
-	await lost;
+	await firstAttempt;
 	const again = await sendOrder(1, key, '/s/grower/kill?workMs=400');
 	assert.equal(again.verdict, 'may-have-run');
 	assert.equal(await countRuns(key), 1);
--- a/test/integration/requests.test.ts
+++ b/test/integration/requests.test.ts
@@ -47,14 +47,14 @@
 /** Checks the verdicts against the journals of the targets, and that no target exceeded its slots. */
 async function checkJournals(outcomes: readonly Outcome[]): Promise<void> {
 	const journals = await system.journals();
-	const ran = new Set(journals.flatMap(journal => journal.runs.map(run => run.requestId)));
+	const executedIds = new Set(journals.flatMap(journal => journal.runs.map(run => run.requestId)));
 	for (const outcome of outcomes) {
 		assert.equal(outcome.bodyRequestId, outcome.requestId, 'the response belongs to the request');
 		if (outcome.verdict === 'not-run') {
-			assert.ok(!ran.has(outcome.requestId), `${outcome.requestId} was reported as not-run but ran`);
+			assert.ok(!executedIds.has(outcome.requestId), `${outcome.requestId} was reported as not-run but ran`);
 		}
 		if (outcome.verdict === 'ran') {
-			assert.ok(ran.has(outcome.requestId));
+			assert.ok(executedIds.has(outcome.requestId));
 		}
 	}
 	assert.deepEqual(
@@ -90,8 +90,11 @@
 	const deadlineMs = Math.round(Math.max(BURST_DEADLINE_MS, forwardingMs / 2));
 	const outcomes = await sendBurst('/s/grower/burst?workMs=60', deadlineMs);
 	await checkJournals(outcomes);
-	const ran = outcomes.filter(outcome => outcome.verdict === 'ran').length;
-	assert.ok(ran > 2 * SLOT_COUNT, `${ran} ran within ${deadlineMs} ms, ${forwardingMs.toFixed(0)} ms to forward them`);
+	const executedCount = outcomes.filter(outcome => outcome.verdict === 'ran').length;
+	assert.ok(
+		executedCount > 2 * SLOT_COUNT,
+		`${executedCount} ran within ${deadlineMs} ms, ${forwardingMs.toFixed(0)} ms to forward them`
+	);
 	assert.ok(outcomes.some(outcome => outcome.verdict === 'not-run'));
 });
 
--- a/test/loads/fleetModel.ts
+++ b/test/loads/fleetModel.ts
@@ -223,13 +223,13 @@
 	}
 
 	private _advance(durationMs: Millis): void {
-		const until = this.now + durationMs;
-		while (this._events.length > 0 && this._events.peek()!.at <= until) {
+		const endAt = this.now + durationMs;
+		while (this._events.length > 0 && this._events.peek()!.at <= endAt) {
 			const event = this._events.pop()!;
 			this.now = Math.max(this.now, event.at);
 			event.run();
 		}
-		this.now = until;
+		this.now = endAt;
 	}
 
 	private _schedule(at: Millis, run: () => void): void {
--- a/test/platform/platformTestSystem.ts
+++ b/test/platform/platformTestSystem.ts
@@ -202,7 +202,7 @@
 		});
 	}
 
-	/** Base URL of the metrics and operators' pages of an instance. */
+	/** Base URL of the metrics listener of an instance, which also serves the admin endpoints. */
 	metricsUrl(instance: Instance): string {
 		return `http://${instance.ip}:${METRICS_PORT}`;
 	}
--- a/test/platform/quarantine.test.ts
+++ b/test/platform/quarantine.test.ts
@@ -108,7 +108,7 @@
 		await delay(RESTART_DELAY_MS + COLD_START_MS);
 		await sendRepeatedly(SEND_DURATION_MS, entry => system.request(entry, method, path, { body }));
 		const lostRuns = lostRunsOf(path);
-		assert.ok(lostRuns.length >= QUARANTINE_THRESHOLD, `${lostRuns.length} targets were lost under it`);
+		assert.ok(lostRuns.length >= QUARANTINE_THRESHOLD, `${lostRuns.length} targets were lost while running it`);
 		const thresholdReachedAt = lostRuns[QUARANTINE_THRESHOLD - 1]!.at;
 		const laterRuns = lostRuns.filter(run => run.at > thresholdReachedAt + PROPAGATION_MS);
 		assert.ok(
--- a/test/platform/restartingTargets.ts
+++ b/test/platform/restartingTargets.ts
@@ -13,7 +13,7 @@
 const PADDING_BYTES = 100;
 const HEARTBEAT_INTERVAL_MS = 1000;
 
-/** A run under which its target crashed. */
+/** A run of a request that crashed its target. */
 export interface LostRun {
 	readonly request: ReceivedRequest;
 	readonly targetId: string;
@@ -33,7 +33,7 @@
 
 /** A pool of restarting targets of one service. */
 export class RestartingTargets {
-	/** Runs under which their target crashed, in order. */
+	/** Runs that crashed their target, in order. */
 	readonly lostRuns: LostRun[] = [];
 	private readonly _runningTargets = new Map<number, TestTarget>();
 	private readonly _restartTimers = new Set<NodeJS.Timeout>();
--- a/test/platform/targetBackoff.test.ts
+++ b/test/platform/targetBackoff.test.ts
@@ -4,7 +4,7 @@
 
 /**
  * A target that rejects a request may ask for backoff (Retry-After), and one that shuts down reports so in its responses (Server-Leaving).
- * Guards against entry instances that keep sending to either, also where no control instance has told them.
+ * Guards against entry instances that keep sending to either, also if no control instance has notified them.
  */
 
 import assert from 'node:assert/strict';
--- a/test/platform/testTarget.ts
+++ b/test/platform/testTarget.ts
@@ -2,7 +2,7 @@
  *  Copyright (c) Shelffield contributors. Licensed under the MIT License.
  *--------------------------------------------------------------------------------------------*/
 
-/** A test target: checks the expected instance, echoes the request id, reports its load, and fails as a test tells it to. */
+/** A test target: checks the expected instance, echoes the request id, reports its load, and injects the faults that a test sets. */
 
 import {
 	createServer,
--- a/test/runTests.ts
+++ b/test/runTests.ts
@@ -46,7 +46,7 @@
 	const tests = run({ files: [...files], concurrency, timeout: TEST_TIMEOUT_MS });
 	tests.on('test:fail', ({ name }) => {
 		if (knownRed.has(name)) {
-			process.stdout.write(`known failure, passed over: ${name}\n`);
+			process.stdout.write(`known failure, ignored: ${name}\n`);
 		} else {
 			process.exitCode = 1;
 		}
--- a/test/soak/soakRules.ts
+++ b/test/soak/soakRules.ts
@@ -29,7 +29,7 @@
 
 function checkExecution(request: CallerRecord | undefined, execution: ExecutionRecord): Breach[] {
 	if (!request) {
-		return [{ rule: 'UNASKED', detail: `${execution.id} ran at ${execution.target}, and nobody had sent it` }];
+		return [{ rule: 'UNASKED', detail: `${execution.id} ran at ${execution.target}, but no caller sent it` }];
 	}
 	if (request.method !== execution.method || request.path !== execution.path) {
 		return [
@@ -53,17 +53,17 @@
 		breaches.push({ rule: 'TWICE', detail: `${id} ran ${executions.length} times` });
 	}
 	if (method === 'POST' && status !== undefined && NOT_EXECUTED_STATUSES.includes(status) && executions.length > 0) {
-		breaches.push({ rule: 'REFUSED', detail: `${id} was answered ${status} and ran at ${executions[0]!.target}` });
+		breaches.push({ rule: 'REFUSED', detail: `${id} got status ${status}, but ran at ${executions[0]!.target}` });
 	}
 	if (status === STATUS_NOT_FOUND) {
-		breaches.push({ rule: 'DENIED', detail: `${id} was answered 404 by ${request.entry}` });
+		breaches.push({ rule: 'DENIED', detail: `${id} got status 404 from ${request.entry}` });
 	}
 	if (status === STATUS_OK && request.isComplete) {
 		const isExpectedResponse = request.body?.startsWith(`${id}:`) === true && targetIds.has(request.serverStamp ?? '');
 		if (!isExpectedResponse) {
 			breaches.push({
 				rule: 'MIXED',
-				detail: `${id} got an answer of ${request.serverStamp}: ${request.body?.slice(0, 40)}`
+				detail: `${id} got a response of ${request.serverStamp}: ${request.body?.slice(0, 40)}`
 			});
 		}
 	}
@@ -78,12 +78,15 @@
 	);
 	const breaches = [...versionsByBase]
 		.filter(([, versions]) => versions.size > 1)
-		.map(([base, versions]) => ({ rule: 'CONFIG', detail: `on ${base} were taken ${[...versions].join(', ')}` }));
+		.map(([base, versions]) => ({
+			rule: 'CONFIG',
+			detail: `several versions based on ${base} were accepted: ${[...versions].join(', ')}`
+		}));
 	const newest = Math.max(0, ...accepted.map(publication => publication.version));
 	if (observations.finalVersion === undefined || observations.finalVersion < newest) {
 		breaches.push({
 			rule: 'CONFIG',
-			detail: `read ${observations.finalVersion} at the end, ${newest} was acknowledged`
+			detail: `final version is ${observations.finalVersion}, but ${newest} was acknowledged`
 		});
 	}
 	return breaches;
--- a/test/soak/soakTargets.ts
+++ b/test/soak/soakTargets.ts
@@ -52,7 +52,7 @@
 	/** All executions so far, including those at replaced targets. */
 	get executions(): ExecutionRecord[] {
 		const all = [...this._replacedTargets, ...this._proxiedTargets.map(proxied => proxied.target)];
-		return all.flatMap(target => target.executedRequests.map(seen => ({ ...seen, target: target.options.id })));
+		return all.flatMap(target => target.executedRequests.map(request => ({ ...request, target: target.options.id })));
 	}
 
 	/** Applies `change` to one link, and `restored` after `durationMs`. Resolves once `change` is applied. */
