--- a/src/plugins/forwarding/test/regionMoves.test.ts
+++ b/src/plugins/forwarding/test/regionShifts.test.ts
@@ -9,7 +9,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MAX_MOVED_FRACTION, SimulatedRegion, WINDOW_MS } from './regionCallers.js';
+import { MAX_MOVED_FRACTION, SimulatedRegion, WINDOW_MS } from './simulatedRegion.js';
 
 const WARMUP_MS = 10000;
 
